--- a/Source/Core/Node/BetterOwner.h
+++ b/Source/Core/Node/HandoverPolicy.h
@@ -14,12 +14,12 @@
 
 namespace yardhill::node
 {
-class better_owner
+class handover_policy
 {
 public:
   // `spare_millis`: what this instance may use for the partition, in thousandths of a core;
   // `strongest_peer`: the most that a peer may use for one more that lives and reaches the store.
-  better_owner(const ownership_options& options, const store_path& path,
+  handover_policy(const ownership_options& options, const store_path& path,
                std::function<std::uint32_t()> spare_millis,
                std::function<std::uint32_t()> strongest_peer);
 
