--- a/Source/Core/Node/CallerGateway.cpp
+++ b/Source/Core/Node/CallerGateway.cpp
@@ -47,7 +47,7 @@
 caller_gateway::caller_gateway(common::timekeeper& time, job_store& store, state_desk& states,
                                const store_path& path, const jobs::queue_table& queues,
                                const configuration_watch& configuration,
-                               const seen_capacities& capacities, const layout_keeper& layout,
+                               const seen_capacities& capacities, const layout_manager& layout,
                                const std::vector<std::unique_ptr<partition_owner>>& partitions,
                                common::metrics& counts)
     : m_time(time),
@@ -80,7 +80,7 @@
   auto what = std::make_shared<call>();
   what->respond = std::move(respond);
   what->received = m_time.now();
-  what->known = m_store.version_so_far();
+  what->known = m_store.newest_known_version();
   what->patience = patience_of(request);
   what->body = std::move(request.body);
   if (!may_serve() && m_early.hold([this, what, request] { dispatch(what, request); }))
@@ -178,7 +178,7 @@
 
 bool caller_gateway::can_run(const partition_owner& partition, const jobs::job_spec& spec) const
 {
-  const seen_owner& seen = partition.seen();
+  const observed_owner& seen = partition.seen();
   if (seen.version == 0 || m_time.now() - seen.changed_at > k_owner_fresh)
     return false;
   return partition.has_labels(spec);
@@ -196,7 +196,7 @@
       std::all_of(m_partitions.begin(), m_partitions.end(), has_labels))
     return jobs::k_every_partition;
   const partition_owner* best = nullptr;
-  for (const std::string& name : m_layout.layout()->of_job(job))
+  for (const std::string& name : m_layout.layout()->partitions_of_job(job))
   {
     const partition_owner* const each = partition(name);
     if (each == nullptr || !can_run(*each, spec) ||
@@ -211,7 +211,7 @@
     if (can_run(*each, spec))
       best = each.get();
   }
-  return best == nullptr ? m_layout.layout()->of_job(job).front() : best->partition();
+  return best == nullptr ? m_layout.layout()->partitions_of_job(job).front() : best->partition();
 }
 
 void caller_gateway::submit(const std::shared_ptr<call>& what)
@@ -251,12 +251,12 @@
 void caller_gateway::on_accepted(const std::shared_ptr<call>& what, const jobs::accepted_job& job,
                                  const accept_result& result)
 {
-  if (result.end == accept_end::refused)
+  if (result.end == accept_outcome::refused)
   {
     refuse(*what, {503, refusal_reason::store_unavailable, result.detail, result.evidence});
     return;
   }
-  if (result.end == accept_end::unknown)
+  if (result.end == accept_outcome::unknown)
   {
     refuse(*what, {504, refusal_reason::run_unclear, result.detail});
     return;
@@ -276,7 +276,7 @@
   for (const auto& each : m_partitions)
   {
     if (runs_in(job, each->partition()))
-      each->job_kept_here(job, result.version);
+      each->job_accepted_here(job, result.version);
   }
 }
 
@@ -309,7 +309,7 @@
 {
   const auto home = m_homes.find(what->id);
   const cell_layout& layout = *m_layout.layout();
-  const auto [first, second] = layout.of_job(what->id);
+  const auto [first, second] = layout.partitions_of_job(what->id);
   if (home == m_homes.end())
     show_from_owners(what, first == second ? std::vector{first} : std::vector{first, second}, {});
   else if (home->second == jobs::k_every_partition)
@@ -346,7 +346,7 @@
 
 std::string caller_gateway::progress_home(const std::string& job, const std::string& home) const
 {
-  return home == jobs::k_every_partition ? m_layout.layout()->of_job(job).front() : home;
+  return home == jobs::k_every_partition ? m_layout.layout()->partitions_of_job(job).front() : home;
 }
 
 void caller_gateway::show_state(const call& what, jobs::job_state state)
@@ -434,7 +434,7 @@
   std::uint64_t pending = 0;
   for (const auto& each : m_partitions)
   {
-    const known_pending known = each->pending();
+    const pending_job_counts known = each->pending();
     const std::string& owner = each->seen().row.holder;
     if (!known.age || *known.age > k_oldest_count)
     {
--- a/Source/Core/Node/CallerGateway.h
+++ b/Source/Core/Node/CallerGateway.h
@@ -18,7 +18,7 @@
 #include "Node/ConfigurationWatch.h"
 #include "Node/EarlyCalls.h"
 #include "Node/JobStore.h"
-#include "Node/LayoutKeeper.h"
+#include "Node/LayoutManager.h"
 #include "Node/PartitionOwner.h"
 #include "Node/SeenCapacities.h"
 #include "Node/StateDesk.h"
@@ -31,7 +31,7 @@
   caller_gateway(common::timekeeper& time, job_store& store, state_desk& states,
                  const store_path& path, const jobs::queue_table& queues,
                  const configuration_watch& configuration, const seen_capacities& capacities,
-                 const layout_keeper& layout,
+                 const layout_manager& layout,
                  const std::vector<std::unique_ptr<partition_owner>>& partitions,
                  common::metrics& counts);
 
@@ -115,7 +115,7 @@
   const jobs::queue_table& m_queues;
   const configuration_watch& m_configuration;
   const seen_capacities& m_capacities;
-  const layout_keeper& m_layout;
+  const layout_manager& m_layout;
   const std::vector<std::unique_ptr<partition_owner>>& m_partitions;
   common::metrics& m_metrics;
   common::time_point m_started; // of this instance
--- a/Source/Core/Node/CallerGatewayOverload.cpp
+++ b/Source/Core/Node/CallerGatewayOverload.cpp
@@ -23,7 +23,7 @@
   m_store.refuse(job.id, "its partition is overloaded", deadline,
                  [this, what, job, excess](const accept_result& result)
                  {
-                   if (result.end != accept_end::refused)
+                   if (result.end != accept_outcome::refused)
                    {
                      on_accepted(what, job, result);
                      return;
--- a/Source/Core/Node/CellLayout.cpp
+++ b/Source/Core/Node/CellLayout.cpp
@@ -28,7 +28,7 @@
                       std::to_string(partitions));
 }
 
-const std::string& cell_layout::of_worker(const common::endpoint& address) const
+const std::string& cell_layout::partition_of_worker(const common::endpoint& address) const
 {
   return m_names[common::stable_hash(address.address, k_worker_seed) % m_names.size()];
 }
@@ -40,7 +40,7 @@
           static_cast<std::uint32_t>(m_names.size())};
 }
 
-std::array<std::string, 2> cell_layout::of_job(const std::string& job) const
+std::array<std::string, 2> cell_layout::partitions_of_job(const std::string& job) const
 {
   const std::uint64_t drawn = common::stable_hash(job, k_job_seed);
   const std::size_t first = drawn % m_names.size();
--- a/Source/Core/Node/CellLayout.h
+++ b/Source/Core/Node/CellLayout.h
@@ -27,11 +27,11 @@
   const std::vector<std::string>& names() const { return m_names; }
   // The partition of the worker at that address. It stays with the machine over its workers' lives,
   // and a worker obeys calls at no other address, so no two owners order one about.
-  const std::string& of_worker(const common::endpoint& address) const;
+  const std::string& partition_of_worker(const common::endpoint& address) const;
   // The partition's part of the tasks of jobs that all partitions run.
   jobs::task_share share_of(const std::string& partition) const;
   // Where a job usually runs, and where else if that partition is busy or has no owner.
-  std::array<std::string, 2> of_job(const std::string& job) const;
+  std::array<std::string, 2> partitions_of_job(const std::string& job) const;
 
 private:
   std::vector<std::string> m_names;
--- a/Source/Core/Node/BetterOwner.h
+++ b/Source/Core/Node/HandoverPolicy.h
@@ -14,14 +14,14 @@
 
 namespace yardhill::node
 {
-class better_owner
+class handover_policy
 {
 public:
   // `spare_millis`: what this instance may use for the partition, in thousandths of a core;
   // `strongest_peer`: the most that a peer may use for one more that lives and reaches the store.
-  better_owner(const ownership_options& options, const store_path& path,
-               std::function<std::uint32_t()> spare_millis,
-               std::function<std::uint32_t()> strongest_peer);
+  handover_policy(const ownership_options& options, const store_path& path,
+                  std::function<std::uint32_t()> spare_millis,
+                  std::function<std::uint32_t()> strongest_peer);
 
   // Whether there is a peer that could bear the partition much better.
   bool stronger_peer() const;
--- a/Source/Core/Node/JobIntake.cpp
+++ b/Source/Core/Node/JobIntake.cpp
@@ -40,8 +40,8 @@
 void job_intake::begin(scheduling::job_scheduler& scheduler, const loaded_partition& loaded)
 {
   m_scheduler = &scheduler;
-  m_read_at = loaded.read_at;
-  m_read_until = loaded.read_from;
+  m_read_at = loaded.read_version;
+  m_read_until = loaded.read_began;
   add_loaded(loaded);
 }
 
@@ -53,7 +53,7 @@
 void job_intake::add_loaded(const loaded_partition& loaded)
 {
   const common::time_point now = m_time.now();
-  for (const loaded_partition::kept_job& each : loaded.jobs)
+  for (const loaded_partition::stored_job& each : loaded.jobs)
   {
     if (m_scheduler->knew(each.job.id))
       continue;
@@ -96,9 +96,9 @@
                                                 [this](const loaded_partition& loaded)
                                                 {
                                                   add_loaded(loaded);
-                                                  m_read_at = loaded.read_at;
+                                                  m_read_at = loaded.read_version;
                                                   m_read_until =
-                                                      std::max(m_read_until, loaded.read_from);
+                                                      std::max(m_read_until, loaded.read_began);
                                                   follow_feed();
                                                   m_changed();
                                                 });
--- a/Source/Core/Node/JobStore.cpp
+++ b/Source/Core/Node/JobStore.cpp
@@ -76,7 +76,7 @@
     switch (result.end)
     {
     case adapter::store_end::done:
-      m_done({accept_end::accepted, {}, true, result.version});
+      m_done({accept_outcome::accepted, {}, true, result.version});
       return;
     case adapter::store_end::conflict:
       on_conflict(result);
@@ -98,7 +98,7 @@
     const common::duration pause = m_pause;
     if (m_time.now() + pause >= m_deadline)
     {
-      m_done({accept_end::unknown, "the store is not available: " + detail, false, 0});
+      m_done({accept_outcome::unknown, "the store is not available: " + detail, false, 0});
       return;
     }
     m_pause = std::min(2 * m_pause, k_longest_pause);
@@ -119,12 +119,12 @@
     }
     if (present->value != k_refused_text)
     {
-      m_done({accept_end::accepted, "the id was there already", false, present->version});
+      m_done({accept_outcome::accepted, "the id was there already", false, present->version});
       return;
     }
     if (present->version > m_known)
     {
-      m_done({accept_end::unknown, "another call for it was refused meanwhile", false, 0});
+      m_done({accept_outcome::unknown, "another call for it was refused meanwhile", false, 0});
       return;
     }
     m_expected = present->version;
@@ -136,7 +136,7 @@
     if (++m_tries <= k_most_retries)
       write();
     else
-      m_done({accept_end::unknown, "the row keeps changing", false, 0});
+      m_done({accept_outcome::unknown, "the row keeps changing", false, 0});
   }
 
   // The write may have happened or may happen later, and so may those of other calls for the same
@@ -146,7 +146,7 @@
   {
     if (m_time.now() + k_retry_pause >= m_deadline)
     {
-      m_done({accept_end::unknown, m_detail, false, 0});
+      m_done({accept_outcome::unknown, m_detail, false, 0});
       return;
     }
     put(k_refused_text, [self = shared_from_this()](const adapter::transaction_result& result)
@@ -157,7 +157,7 @@
   {
     if (result.end == adapter::store_end::done)
     {
-      m_done({accept_end::refused, m_detail, false, 0, row_evidence::marked});
+      m_done({accept_outcome::refused, m_detail, false, 0, row_evidence::marked});
       return;
     }
     if (result.end != adapter::store_end::conflict)
@@ -171,8 +171,8 @@
     // It may be an earlier submission's row, even of a job that has ended since.
     if (kept != result.conflicting.end())
     {
-      m_done({accept_end::accepted, "settled by reading it back", m_first && kept->value == m_text,
-              kept->version});
+      m_done({accept_outcome::accepted, "settled by reading it back",
+              m_first && kept->value == m_text, kept->version});
       return;
     }
     m_expected = result.conflicting.empty() ? 0 : result.conflicting.front().version;
@@ -257,7 +257,7 @@
 {
 }
 
-adapter::row_version job_store::version_so_far() const
+adapter::row_version job_store::newest_known_version() const
 {
   return std::max(m_store.newest_seen(), m_feed_store.newest_seen());
 }
@@ -273,7 +273,8 @@
 {
   jobs::accepted_job job;
   job.id = id;
-  std::make_shared<acceptance>(m_time, m_store, version_so_far(), job, deadline, std::move(done))
+  std::make_shared<acceptance>(m_time, m_store, newest_known_version(), job, deadline,
+                               std::move(done))
       ->refuse(why);
 }
 
--- a/Source/Core/Node/JobStore.h
+++ b/Source/Core/Node/JobStore.h
@@ -61,7 +61,7 @@
 };
 std::string_view to_text(row_evidence evidence);
 
-enum class accept_end
+enum class accept_outcome
 {
   accepted, // kept, now or by an earlier submission of the same id
   refused,  // certainly not kept, nor will it be by any call that came before
@@ -70,7 +70,7 @@
 
 struct accept_result
 {
-  accept_end end = accept_end::unknown;
+  accept_outcome end = accept_outcome::unknown;
   std::string detail;
   bool first = false; // kept by this very call
   adapter::row_version version = 0;
@@ -99,7 +99,7 @@
             const adapter::store_client& feed_store);
 
   // A version of the store that is not newer than this moment.
-  adapter::row_version version_so_far() const;
+  adapter::row_version newest_known_version() const;
   // Keeps the job; an answer comes by `deadline`. `known`: a version from when the submission came.
   void accept(const jobs::accepted_job& job, adapter::row_version known,
               common::time_point deadline, std::function<void(accept_result)> done);
--- a/Source/Core/Node/LayoutKeeper.cpp
+++ b/Source/Core/Node/LayoutManager.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Node/LayoutKeeper.h"
+#include "Node/LayoutManager.h"
 
 #include <algorithm>
 
@@ -27,15 +27,15 @@
 constexpr std::size_t k_most_partitions = 16;
 } // namespace
 
-layout_keeper::layout_keeper(common::timekeeper& time, adapter::store_client& store,
-                             std::size_t fixed)
+layout_manager::layout_manager(common::timekeeper& time, adapter::store_client& store,
+                               std::size_t fixed)
     : m_time(time), m_store(store), m_fixed(fixed), m_alive(std::make_shared<int>(0))
 {
 }
 
-layout_keeper::~layout_keeper() = default;
+layout_manager::~layout_manager() = default;
 
-void layout_keeper::take_in(const adapter::row& row)
+void layout_manager::take_in(const adapter::row& row)
 {
   if (m_layout || row.removed)
     return;
@@ -54,13 +54,13 @@
     set(1, "the whole cell has an owner");
 }
 
-void layout_keeper::set(std::size_t partitions, const char* why)
+void layout_manager::set(std::size_t partitions, const char* why)
 {
   m_layout.emplace(partitions);
   common::log_process("layout_known", {{"partitions", partitions}, {"why", why}});
 }
 
-std::optional<std::size_t> layout_keeper::decision(const cell_size& size, common::time_point now)
+std::optional<std::size_t> layout_manager::decision(const cell_size& size, common::time_point now)
 {
   if (m_fixed > 0)
     return m_fixed;
@@ -85,7 +85,7 @@
                                  k_most_partitions);
 }
 
-void layout_keeper::tick(const cell_size& size)
+void layout_manager::tick(const cell_size& size)
 {
   const common::time_point now = m_time.now();
   if (m_layout || !m_rows_read || m_writing || now < m_try_after)
@@ -99,7 +99,7 @@
   }
 }
 
-void layout_keeper::write(std::size_t partitions)
+void layout_manager::write(std::size_t partitions)
 {
   m_writing = true;
   adapter::transaction change;
@@ -116,7 +116,7 @@
 
 // Without a sure answer the row may come yet, with this number or with another instance's: the next
 // try meets it, or the feed brings it.
-void layout_keeper::on_written(const adapter::transaction_result& result, std::size_t partitions)
+void layout_manager::on_written(const adapter::transaction_result& result, std::size_t partitions)
 {
   m_writing = false;
   if (m_layout)
--- a/Source/Core/Node/LayoutKeeper.h
+++ b/Source/Core/Node/LayoutManager.h
@@ -23,17 +23,17 @@
 struct cell_size
 {
   std::size_t instances = 0; // that can be reached, this one included
-  std::size_t workers = 0;   // with an entry; counted while wants_workers()
+  std::size_t workers = 0;   // with an entry; counted while needs_worker_count()
 };
 
-class layout_keeper
+class layout_manager
 {
 public:
   // `fixed`: the number of partitions of a new cell; 0: it follows from the cell's size.
-  layout_keeper(common::timekeeper& time, adapter::store_client& store, std::size_t fixed);
-  ~layout_keeper();
-  layout_keeper(const layout_keeper&) = delete;
-  layout_keeper& operator=(const layout_keeper&) = delete;
+  layout_manager(common::timekeeper& time, adapter::store_client& store, std::size_t fixed);
+  ~layout_manager();
+  layout_manager(const layout_manager&) = delete;
+  layout_manager& operator=(const layout_manager&) = delete;
 
   // A row of the owners' table.
   void take_in(const adapter::row& row);
@@ -43,7 +43,7 @@
   const std::optional<cell_layout>& layout() const { return m_layout; }
 
   // Whether the workers have to be counted before the layout can be decided.
-  bool wants_workers() const { return m_counting_since && !m_layout; }
+  bool needs_worker_count() const { return m_counting_since && !m_layout; }
   // Called often by an instance that may own partitions.
   void tick(const cell_size& size);
 
--- a/Source/Core/Node/NodeCore.cpp
+++ b/Source/Core/Node/NodeCore.cpp
@@ -93,7 +93,7 @@
   const common::time_point now = m_world.time.now();
   m_loop.ticked(m_next_tick.value_or(now), now);
   m_next_tick = now + k_tick_period;
-  if (m_store_path.back_since() > m_feeds_asked)
+  if (m_store_path.direct_restored_at() > m_feeds_asked)
     ask_feeds_again();
   const auto healthy = m_owner_feed.loaded() ? m_owner_feed.healthy_since() : std::nullopt;
   decide_layout();
@@ -114,9 +114,9 @@
 
 void node_core::follow_workers()
 {
-  const bool wanted = m_layout.wants_workers() ||
+  const bool wanted = m_layout.needs_worker_count() ||
                       std::any_of(m_partitions.begin(), m_partitions.end(),
-                                  [](const auto& each) { return each->needs_workers(); });
+                                  [](const auto& each) { return each->needs_worker_entries(); });
   if (wanted == m_follows_workers)
     return;
   m_follows_workers = wanted;
@@ -134,18 +134,18 @@
 {
   const ownership_options options;
   const bool others_first =
-      m_peers.strongest() > options.much_stronger * static_cast<double>(m_processor_millis);
-  m_owner_feed.gather(others_first ? k_gather_owners : common::duration{0});
+      m_peers.strongest() > options.stronger_peer_factor * static_cast<double>(m_processor_millis);
+  m_owner_feed.set_batch_window(others_first ? k_gather_owners : common::duration{0});
 }
 
 void node_core::ask_feeds_again()
 {
-  m_feeds_asked = m_store_path.back_since();
+  m_feeds_asked = m_store_path.direct_restored_at();
   m_operator_feed.ask_again();
   m_worker_feed.ask_again();
   m_owner_feed.ask_again();
   for (const auto& each : m_partitions)
-    each->store_heard();
+    each->on_store_reachable();
 }
 
 void node_core::handle(http::incoming_request request, http::responder respond)
@@ -182,7 +182,7 @@
   m_advice.peer_linked(peer);
   m_states.peer_reachable(peer);
   for (const auto& each : m_partitions)
-    each->peer_link(peer, true);
+    each->peer_link_changed(peer, true);
 }
 
 void node_core::peer_unreachable(const std::string& peer)
@@ -191,7 +191,7 @@
   m_store_path.peer_unreachable(peer);
   m_states.peer_unreachable(peer);
   for (const auto& each : m_partitions)
-    each->peer_link(peer, false);
+    each->peer_link_changed(peer, false);
 }
 
 void node_core::peer_received(const std::string& peer, const common::peer_message& message)
@@ -218,7 +218,7 @@
   else if (const auto* orders = std::get_if<common::orders_question>(&message))
   {
     for (const auto& each : m_partitions)
-      each->on_orders_question(peer, *orders);
+      each->on_orders_query(peer, *orders);
   }
   else if (const auto* quiet = std::get_if<common::orders_reply>(&message))
   {
@@ -363,7 +363,7 @@
   for (const std::string& id : gone)
     remove_worker(id);
   for (const auto& each : m_partitions)
-    each->workers_read();
+    each->worker_entries_read();
 }
 
 void node_core::remove_worker(const std::string& id)
--- a/Source/Core/Node/NodeCore.h
+++ b/Source/Core/Node/NodeCore.h
@@ -17,7 +17,7 @@
 #include "Http/RequestSender.h"
 #include "Node/CallerGateway.h"
 #include "Node/ConfigurationWatch.h"
-#include "Node/LayoutKeeper.h"
+#include "Node/LayoutManager.h"
 #include "Node/LoopMonitor.h"
 #include "Node/NodeSettings.h"
 #include "Node/PartitionOwner.h"
@@ -126,7 +126,7 @@
   std::map<std::string, scheduling::worker_info> m_worker_entries;
   std::set<std::string> m_doubted_workers; // those whose present entry is not valid
   seen_capacities m_capacities;
-  layout_keeper m_layout;
+  layout_manager m_layout;
   std::vector<std::unique_ptr<partition_owner>> m_partitions; // none before the layout is known
   job_store m_jobs;
   state_desk m_states;
--- a/Source/Core/Node/NodeCoreLayout.cpp
+++ b/Source/Core/Node/NodeCoreLayout.cpp
@@ -29,7 +29,7 @@
   fetch_layout();
   const ownership_options options;
   const bool others_first =
-      m_peers.strongest() > options.much_stronger * static_cast<double>(m_processor_millis);
+      m_peers.strongest() > options.stronger_peer_factor * static_cast<double>(m_processor_millis);
   if (!others_first && !m_stopping && m_queues.version != 0 && !m_store_path.isolated())
     m_layout.tick({m_peers.count() + 1, m_worker_entries.size()});
   if (m_layout.layout())
@@ -52,32 +52,33 @@
 {
   if (!std::exchange(m_reads_owners_anew, false))
     return;
-  m_owner_feed.read_parts(m_layout.layout()->names());
+  m_owner_feed.set_parts(m_layout.layout()->names());
   m_owner_feed.start();
 }
 
 void node_core::divide()
 {
   const cell_layout& layout = *m_layout.layout();
-  const node_parts parts{m_world.time,
-                         m_store,
-                         m_feed_store,
-                         m_store_path,
-                         m_store_clock,
-                         m_workers,
-                         m_advice,
-                         m_world.metrics,
-                         m_world.send_to_peer,
-                         m_worker_entries,
-                         [this] { return m_worker_feed.loaded(); },
-                         m_capacities,
-                         m_loop,
-                         m_queues,
-                         layout,
-                         [this](const std::string& partition) { return spare_millis(partition); },
-                         [this] { return m_peers.strongest(); }};
+  const owner_dependencies parts{m_world.time,
+                                 m_store,
+                                 m_feed_store,
+                                 m_store_path,
+                                 m_store_clock,
+                                 m_workers,
+                                 m_advice,
+                                 m_world.metrics,
+                                 m_world.send_to_peer,
+                                 m_worker_entries,
+                                 [this] { return m_worker_feed.loaded(); },
+                                 m_capacities,
+                                 m_loop,
+                                 m_queues,
+                                 layout,
+                                 [this](const std::string& partition)
+                                 { return spare_millis(partition); },
+                                 [this] { return m_peers.strongest(); }};
   ownership_options options;
-  options.keep_ended = k_keep_factor * m_keep_status;
+  options.ended_job_retention = k_keep_factor * m_keep_status;
   for (const std::string& name : layout.names())
     m_partitions.push_back(std::make_unique<partition_owner>(parts, m_self, name, options));
   // Instances that compete for partitions without owners begin with different ones.
@@ -99,7 +100,7 @@
 {
   return static_cast<std::size_t>(std::count_if(m_partitions.begin(), m_partitions.end(),
                                                 [](const auto& each)
-                                                { return each->needs_workers(); }));
+                                                { return each->needs_worker_entries(); }));
 }
 
 std::uint32_t node_core::shared_millis(std::size_t owned) const
@@ -117,10 +118,10 @@
   {
     if (each->partition() != partition)
     {
-      before += each->needs_workers() ? 1 : 0;
+      before += each->needs_worker_entries() ? 1 : 0;
       continue;
     }
-    if (each->needs_workers())
+    if (each->needs_worker_entries())
       break;
   }
   return shared_millis(before);
--- a/Source/Core/Node/OwnerRow.cpp
+++ b/Source/Core/Node/OwnerRow.cpp
@@ -63,8 +63,8 @@
     out[k_counted_at_ms] = row.counted_at->time_since_epoch().count();
   for (const auto& [priority, wait] : row.start_waits)
     out[k_start_waits_ms].push_back({priority, wait.count()});
-  if (row.earlier_orders_end)
-    out[k_earlier_orders_end_ms] = row.earlier_orders_end->time_since_epoch().count();
+  if (row.previous_requests_end)
+    out[k_earlier_orders_end_ms] = row.previous_requests_end->time_since_epoch().count();
   return out.dump();
 }
 
@@ -92,8 +92,9 @@
                             row.start_waits[each.at(0).get<std::uint32_t>()] =
                                 std::chrono::milliseconds(each.at(1).get<std::int64_t>());
                           if (in.contains(k_earlier_orders_end_ms))
-                            row.earlier_orders_end = adapter::store_time(std::chrono::milliseconds(
-                                in.at(k_earlier_orders_end_ms).get<std::int64_t>()));
+                            row.previous_requests_end =
+                                adapter::store_time(std::chrono::milliseconds(
+                                    in.at(k_earlier_orders_end_ms).get<std::int64_t>()));
                           return row;
                         });
 }
@@ -131,7 +132,7 @@
   json out{{"address", claim.address.address}, {"port", claim.address.port}, {"zone", claim.zone}};
   if (claim.born)
     out[k_born_ms] = claim.born->time_since_epoch().count();
-  if (const auto over = claim.over ? clock.latest_at(*claim.over) : std::nullopt)
+  if (const auto over = claim.over ? clock.latest_store_time(*claim.over) : std::nullopt)
     out[k_over_ms] = over->time_since_epoch().count();
   if (!claim.closed)
     return out.dump();
@@ -157,7 +158,7 @@
           claim.born = scheduling::born_time(
               std::chrono::milliseconds(in.at(k_born_ms).get<std::int64_t>()));
         if (in.contains(k_over_ms))
-          claim.over = clock.latest_time_at(
+          claim.over = clock.latest_local_time(
               adapter::store_time(std::chrono::milliseconds(in.at(k_over_ms).get<std::int64_t>())));
         for (const json& task : in.value("tasks", json::array()))
           claim.tasks.push_back({task.at(0), {task.at(1), task.at(2), task.at(3)}});
--- a/Source/Core/Node/OwnerRow.h
+++ b/Source/Core/Node/OwnerRow.h
@@ -57,7 +57,7 @@
   // overloaded.
   std::map<std::uint32_t, std::chrono::milliseconds> start_waits = {};
   // When the orders of the owners before are over; none: not known.
-  std::optional<adapter::store_time> earlier_orders_end = std::nullopt;
+  std::optional<adapter::store_time> previous_requests_end = std::nullopt;
 };
 
 struct layout_row
@@ -86,7 +86,7 @@
 common::result<commit_row> commit_row_from(const std::string& text);
 
 // An owner row as it was last seen.
-struct seen_owner
+struct observed_owner
 {
   owner_row row;
   adapter::row_version version = 0; // 0: there is none
--- a/Source/Core/Node/OwnerWatch.cpp
+++ b/Source/Core/Node/OwnerWatch.cpp
@@ -64,7 +64,7 @@
   m_seen = {row, version, m_time.now()};
 }
 
-void owner_watch::peer_link(const std::string& peer, bool linked)
+void owner_watch::peer_link_changed(const std::string& peer, bool linked)
 {
   if (linked)
     m_unlinked.erase(peer);
@@ -91,42 +91,43 @@
     return false;
   const common::time_point heard = std::max({m_seen.changed_at, feed_healthy_since, m_began});
   const common::duration left_to_others =
-      stronger_peer ? m_options.leave_to_stronger : common::duration{0};
+      stronger_peer ? m_options.stronger_peer_takeover_delay : common::duration{0};
   if (m_seen.version == 0 || m_seen.row.holder.empty() || earlier_process_of_ours())
     return now - heard >= left_to_others;
-  const common::duration patience =
-      m_unlinked.contains(m_seen.row.holder) ? m_options.silence_unlinked : m_options.silence;
+  const common::duration patience = m_unlinked.contains(m_seen.row.holder)
+                                        ? m_options.silence_timeout_unlinked
+                                        : m_options.silence;
   return now - heard > patience + left_to_others;
 }
 
-common::time_point owner_watch::orders_end() const
+common::time_point owner_watch::requests_end() const
 {
   // The owners before that process may still order.
   if (earlier_process_of_ours())
-    return std::max(m_seen.changed_at, predecessors_end());
+    return std::max(m_seen.changed_at, predecessors_requests_end());
   // It has given no orders before its first renewal, and cannot renew once it is replaced.
   if (const auto told = told_predecessors_end(); told && m_seen.row.renewal == 0)
     return *told;
-  return m_options.orders_end(m_seen.changed_at);
+  return m_options.requests_end(m_seen.changed_at);
 }
 
 std::optional<common::time_point> owner_watch::told_predecessors_end() const
 {
-  if (!m_seen.row.earlier_orders_end)
+  if (!m_seen.row.previous_requests_end)
     return std::nullopt;
-  return m_clock.latest_time_at(*m_seen.row.earlier_orders_end);
+  return m_clock.latest_local_time(*m_seen.row.previous_requests_end);
 }
 
 // The owner may have written it. Besides, they renewed nothing after its takeover, which is as long
 // ago as its renewals took: they are a period apart, but for a few.
-common::time_point owner_watch::predecessors_end() const
+common::time_point owner_watch::predecessors_requests_end() const
 {
   if (m_seen.row.epoch <= 1)
     return {};
   const std::uint64_t spaced =
       m_seen.row.renewal - std::min(m_seen.row.renewal, k_unspaced_renewals);
   const common::time_point counted =
-      m_options.orders_end(m_seen.changed_at) -
+      m_options.requests_end(m_seen.changed_at) -
       static_cast<common::duration::rep>(spaced) * m_options.renew_period;
   return std::min(counted, told_predecessors_end().value_or(counted));
 }
--- a/Source/Core/Node/OwnerWatch.h
+++ b/Source/Core/Node/OwnerWatch.h
@@ -28,14 +28,14 @@
   owner_watch(const common::timekeeper& time, const store_clock& clock, instance_identity self,
               std::string partition, const ownership_options& options);
 
-  const seen_owner& seen() const { return m_seen; }
+  const observed_owner& seen() const { return m_seen; }
   // The row as the feed or a conflict shows it; nothing if it is older than what was seen, or
   // damaged.
   std::optional<owner_row> take_in(const adapter::row& row);
   // A row that this instance has written itself.
   void written(const owner_row& row, adapter::row_version version);
   // The link to that instance has come up or has broken, or it is silent.
-  void peer_link(const std::string& peer, bool linked);
+  void peer_link_changed(const std::string& peer, bool linked);
 
   // A takeover whose write got no answer: it may have been done, or may be later.
   void takeover_unclear(const owner_row& row) { m_unclear_takeover = row; }
@@ -48,9 +48,9 @@
   bool takeover_due(common::time_point now, common::time_point feed_healthy_since,
                     bool stronger_peer) const;
   // When the owner that was seen has given its last order, if it is replaced now.
-  common::time_point orders_end() const;
+  common::time_point requests_end() const;
   // The same for the owners before it; the beginning of time if there were none.
-  common::time_point predecessors_end() const;
+  common::time_point predecessors_requests_end() const;
   // Whose process the owner is or, if it has given the partition back, was; empty: not known.
   const std::string& instance() const { return m_instance; }
 
@@ -66,7 +66,7 @@
   std::string m_partition;
   ownership_options m_options;
   common::time_point m_began; // to watch
-  seen_owner m_seen;
+  observed_owner m_seen;
   std::string m_instance;
   common::time_point m_try_after{};
   std::optional<owner_row> m_unclear_takeover;
--- a/Source/Core/Node/OwnershipOptions.h
+++ b/Source/Core/Node/OwnershipOptions.h
@@ -22,7 +22,7 @@
   common::duration silence = std::chrono::milliseconds{3000};
   // The same once it is silent, or the link to it broken, as well: one renewal missed. Longer than
   // the scheduler's fresh_word.
-  common::duration silence_unlinked = std::chrono::milliseconds{800};
+  common::duration silence_timeout_unlinked = std::chrono::milliseconds{800};
   // How long an owner goes on giving orders after it asked the store for its latest success. With
   // the leases (7.5 s) it covers an outage of 7 s; a new owner waits for both together where it
   // cannot ask a worker.
@@ -34,22 +34,22 @@
   // many times its processor: for this long when it has no owner, and it gives its own back once
   // such a peer has been there for as long as below. A takeover costs half a second, so a peer that
   // comes and goes is not worth it.
-  double much_stronger = 1.5;
-  common::duration leave_to_stronger = std::chrono::milliseconds{1500};
-  common::duration stronger_steady = std::chrono::milliseconds{1500};
+  double stronger_peer_factor = 1.5;
+  common::duration stronger_peer_takeover_delay = std::chrono::milliseconds{1500};
+  common::duration stronger_peer_release_delay = std::chrono::milliseconds{1500};
   common::duration retry_pause = std::chrono::milliseconds{200};
   // An owner that reaches the store only through a peer for this long gives its partition back:
   // another instance hears of new jobs at once.
-  common::duration relayed_most = std::chrono::milliseconds{700};
+  common::duration relayed_release_delay = std::chrono::milliseconds{700};
   // The rows of an ended job stay this long: twice what callers may ask for it (the platform's
   // status_s), so that a submission repeated late still meets its row.
-  common::duration keep_ended = std::chrono::seconds{240};
+  common::duration ended_job_retention = std::chrono::seconds{240};
   // Rows of one commit; the platform takes 100 entries.
-  std::size_t most_commit_rows = 90;
+  std::size_t max_commit_rows = 90;
 
   // When an owner whose renewal was seen at `renewed` has surely given its last order: a commit
   // that extends its authority comes less than a renewal period after its latest renewal.
-  common::time_point orders_end(common::time_point renewed) const
+  common::time_point requests_end(common::time_point renewed) const
   {
     return renewed + renew_period + authority;
   }
--- a/Source/Core/Node/PartitionLoader.cpp
+++ b/Source/Core/Node/PartitionLoader.cpp
@@ -53,7 +53,7 @@
 void partition_loader::start()
 {
   m_open = m_readings.size();
-  m_loaded.read_from = m_time.now();
+  m_loaded.read_began = m_time.now();
   read(*m_readings.front());
 }
 
@@ -87,8 +87,8 @@
     return;
   }
   which.delay = k_retry_first;
-  if (m_loaded.read_at == 0)
-    m_loaded.read_at = result.version;
+  if (m_loaded.read_version == 0)
+    m_loaded.read_version = result.version;
   for (const adapter::row& row : result.rows)
     take(row);
   if (!result.more || result.rows.empty() || which.range.most == 1)
@@ -154,13 +154,13 @@
 loaded_partition partition_loader::loaded()
 {
   std::set<std::string> shared; // whose rows others still need, unless they are cancelled
-  for (const loaded_partition::kept_job& each : m_loaded.jobs)
+  for (const loaded_partition::stored_job& each : m_loaded.jobs)
   {
     if (each.job.home == jobs::k_every_partition)
       shared.insert(each.job.id);
   }
   std::erase_if(m_loaded.jobs,
-                [this](const loaded_partition::kept_job& each)
+                [this](const loaded_partition::stored_job& each)
                 {
                   const auto progress = m_loaded.progress.find(each.job.id);
                   return progress != m_loaded.progress.end() &&
--- a/Source/Core/Node/PartitionLoader.h
+++ b/Source/Core/Node/PartitionLoader.h
@@ -23,12 +23,12 @@
 {
 struct loaded_partition
 {
-  struct kept_job
+  struct stored_job
   {
     jobs::accepted_job job;
     adapter::row_version version = 0;
   };
-  std::vector<kept_job> jobs; // of this partition, ended ones left out
+  std::vector<stored_job> jobs; // of this partition, ended ones left out
   // Their rows can go after a while. Marks of refusals stay: a job may take their place.
   std::vector<std::string> ended;
   std::map<std::string, jobs::job_progress> progress;
@@ -36,8 +36,8 @@
   std::map<common::worker_id, scheduling::worker_claim> claims;
   adapter::row_version commit_version = 0; // 0: nothing was ever committed
   std::uint64_t commit_number = 0;
-  adapter::row_version read_at = 0; // changes of the jobs' table behind this are not in here
-  common::time_point read_from{};   // when the reading began; what was kept before is in here
+  adapter::row_version read_version = 0; // changes of the jobs' table behind this are not in here
+  common::time_point read_began{};       // when the reading began; what was kept before is in here
 };
 
 class partition_loader : public std::enable_shared_from_this<partition_loader>
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -23,7 +23,7 @@
 constexpr std::chrono::milliseconds k_entries_patience{700};
 } // namespace
 
-partition_owner::partition_owner(const node_parts& parts, instance_identity self,
+partition_owner::partition_owner(const owner_dependencies& parts, instance_identity self,
                                  std::string partition, const ownership_options& options)
     : m_parts(parts),
       m_self(std::move(self)),
@@ -77,7 +77,7 @@
   m_takeover_sent = m_parts.time.now();
   // The write holds only if the row is still the one seen, so the earlier owner's latest renewal is
   // that one, and was asked for before it was seen.
-  const seen_owner& earlier = m_watch.seen();
+  const observed_owner& earlier = m_watch.seen();
   m_earlier.begin(m_watch, earlier.row.epoch + 1);
   owner_row row;
   row.holder = m_self.name;
@@ -91,7 +91,7 @@
   row.free_cpu = earlier.row.free_cpu;
   row.largest = m_parts.capacities.largest();
   row.labels = earlier.row.labels;
-  row.earlier_orders_end = m_parts.clock.latest_at(m_earlier.end());
+  row.previous_requests_end = m_parts.clock.latest_store_time(m_earlier.end());
   adapter::transaction change;
   change.conditions.push_back({owner_key(m_partition), earlier.version});
   change.puts.push_back({owner_key(m_partition), to_row_text(row)});
@@ -116,8 +116,8 @@
   return m_earlier.end() + scheduling::scheduler_options{}.longest_lease();
 }
 
-void partition_owner::on_orders_question(const std::string& peer,
-                                         const common::orders_question& question)
+void partition_owner::on_orders_query(const std::string& peer,
+                                      const common::orders_question& question)
 {
   // While this instance takes the partition over, an answer to an earlier takeover may still come.
   // Whoever has seen the later owner's row never becomes an earlier owner.
@@ -193,7 +193,7 @@
   begin_when_known(m_loaded_at);
 }
 
-void partition_owner::workers_read()
+void partition_owner::worker_entries_read()
 {
   begin_when_known(m_parts.time.now());
 }
@@ -211,8 +211,8 @@
   m_state = state::owning;
   const common::time_point now = m_parts.time.now();
   start_commits(loaded);
-  m_sweeper =
-      std::make_unique<row_sweeper>(m_parts.time, m_parts.store, m_partition, m_options.keep_ended);
+  m_sweeper = std::make_unique<row_sweeper>(m_parts.time, m_parts.store, m_partition,
+                                            m_options.ended_job_retention);
   m_sweeper->ended(loaded.ended);
   scheduling::scheduler_options options;
   options.share = m_parts.layout.share_of(m_partition);
@@ -251,7 +251,7 @@
                      });
 }
 
-void partition_owner::job_kept_here(const jobs::accepted_job& job, adapter::row_version version)
+void partition_owner::job_accepted_here(const jobs::accepted_job& job, adapter::row_version version)
 {
   if (owns())
     m_intake->job_kept(job, version);
@@ -289,7 +289,7 @@
   return latest;
 }
 
-known_pending partition_owner::pending() const
+pending_job_counts partition_owner::pending() const
 {
   const common::time_point now = m_parts.time.now();
   if (owns() && m_scheduler->may_act(now))
@@ -331,7 +331,7 @@
 
 void partition_owner::worker_entry(const scheduling::worker_info& info)
 {
-  if (!owns() || m_parts.layout.of_worker(info.address) != m_partition)
+  if (!owns() || m_parts.layout.partition_of_worker(info.address) != m_partition)
     return;
   m_scheduler->worker_entry(info, m_parts.time.now());
   step_soon();
@@ -364,7 +364,7 @@
   step_soon();
 }
 
-void partition_owner::store_heard()
+void partition_owner::on_store_reachable()
 {
   if (m_intake)
     m_intake->ask_again();
--- a/Source/Core/Node/PartitionOwner.h
+++ b/Source/Core/Node/PartitionOwner.h
@@ -17,15 +17,15 @@
 
 #include "Jobs/QueueTable.h"
 #include "Node/AdvicePool.h"
-#include "Node/BetterOwner.h"
 #include "Node/CellLayout.h"
 #include "Node/CommitWriter.h"
-#include "Node/EarlierOrders.h"
+#include "Node/HandoverPolicy.h"
 #include "Node/JobIntake.h"
 #include "Node/JobStore.h"
 #include "Node/LoopMonitor.h"
 #include "Node/OwnerWatch.h"
 #include "Node/PartitionLoader.h"
+#include "Node/PreviousOwnerRequests.h"
 #include "Node/RowSweeper.h"
 #include "Node/SeenCapacities.h"
 #include "Node/StoreClock.h"
@@ -36,7 +36,7 @@
 namespace yardhill::node
 {
 // What the owners of all partitions share with their process.
-struct node_parts
+struct owner_dependencies
 {
   common::timekeeper& time;
   adapter::store_client& store;
@@ -63,7 +63,7 @@
 };
 
 // The accepted jobs of a partition that have not begun, by queue, and the age of that knowledge.
-struct known_pending
+struct pending_job_counts
 {
   std::map<std::string, std::uint64_t> jobs;
   std::optional<common::duration> age; // none: it is not known how old it is
@@ -72,7 +72,7 @@
 class partition_owner
 {
 public:
-  partition_owner(const node_parts& parts, instance_identity self, std::string partition,
+  partition_owner(const owner_dependencies& parts, instance_identity self, std::string partition,
                   const ownership_options& options);
   ~partition_owner();
   partition_owner(const partition_owner&) = delete;
@@ -80,38 +80,41 @@
 
   const std::string& partition() const { return m_partition; }
   bool owns() const { return m_state == state::owning; }
-  const seen_owner& seen() const { return m_watch.seen(); }
+  const observed_owner& seen() const { return m_watch.seen(); }
 
   // Whether some of its workers have what the job's steps require, as its owner told.
   bool has_labels(const jobs::job_spec& spec) const;
 
   void owner_row_changed(const adapter::row& row);
   // Whether it owns its partition or is about to.
-  bool needs_workers() const { return m_state != state::watching; }
+  bool needs_worker_entries() const { return m_state != state::watching; }
   // All workers' entries have been read.
-  void workers_read();
+  void worker_entries_read();
   // The link to that instance has come up or has broken.
-  void peer_link(const std::string& peer, bool linked) { m_watch.peer_link(peer, linked); }
+  void peer_link_changed(const std::string& peer, bool linked)
+  {
+    m_watch.peer_link_changed(peer, linked);
+  }
   void worker_entry(const scheduling::worker_info& info);
   // The entry that is there now is not valid.
   void worker_entry_invalid(const common::worker_id& id);
   void worker_entry_gone(const common::worker_id& id);
   void queues_changed();
   // The store is back after a silence.
-  void store_heard();
+  void on_store_reachable();
   // A job that has just been kept or cancelled. Another instance that owns the partition is told,
   // so that nobody need wait for the feed.
-  void job_kept_here(const jobs::accepted_job& job, adapter::row_version version);
+  void job_accepted_here(const jobs::accepted_job& job, adapter::row_version version);
   void job_cancelled_here(const std::string& id);
   void on_notice(const common::job_notice& notice);
   // A later owner asks whether this instance still gives orders; the answer to such a question.
-  void on_orders_question(const std::string& peer, const common::orders_question& question);
+  void on_orders_query(const std::string& peer, const common::orders_question& question);
   void on_orders_reply(const std::string& peer, const common::orders_reply& reply);
   // What is written of a job here; nothing if this instance does not own it or does not know it, or
   // while the store may know more.
   std::optional<jobs::job_state> written_state(const std::string& id) const;
   // As its owner told in its row; if that is this instance, as it knows itself.
-  known_pending pending() const;
+  pending_job_counts pending() const;
 
   // Called often. `feed_healthy_since`: of the owners' feed.
   void tick(common::time_point now, std::optional<common::time_point> feed_healthy_since);
@@ -159,14 +162,14 @@
   // earlier owner's are old by then, so the row is renewed at once.
   bool counts_due() const;
 
-  node_parts m_parts;
+  owner_dependencies m_parts;
   instance_identity m_self;
   std::string m_partition;
   ownership_options m_options;
   state m_state = state::watching;
   owner_watch m_watch;
-  better_owner m_better_owner;
-  earlier_orders m_earlier;
+  handover_policy m_better_owner;
+  previous_owner_requests m_earlier;
   common::time_point m_quiet_since; // this process has given no orders, unless it is the owner
   bool m_stopping = false;
   bool m_releasing = false; // this ownership is given back once everything is written
--- a/Source/Core/Node/PartitionOwnerCommits.cpp
+++ b/Source/Core/Node/PartitionOwnerCommits.cpp
@@ -20,15 +20,16 @@
     row.holder.clear();
   const scheduling::partition_load load = m_scheduler->load();
   row.pending = load.pending;
-  row.counted_at = m_parts.clock.earliest_at(m_intake->known_until());
-  // Once in an ownership: watchers reckon with one such renewal (owner_watch::predecessors_end).
+  row.counted_at = m_parts.clock.earliest_store_time(m_intake->known_until());
+  // Once in an ownership: watchers reckon with one such renewal
+  // (owner_watch::predecessors_requests_end).
   m_has_told_counts = m_has_told_counts || m_intake->caught_up();
   row.waiting_cpu = load.waiting_cpu;
   row.free_cpu = load.free_cpu;
   row.start_waits = m_scheduler->start_waits(m_parts.time.now());
   row.largest = m_parts.capacities.largest();
   row.labels = load.labels;
-  row.earlier_orders_end = m_parts.clock.latest_at(m_earlier.end());
+  row.previous_requests_end = m_parts.clock.latest_store_time(m_earlier.end());
   m_parts.metrics.set(common::gauge::queued, load.queued_jobs());
   m_parts.metrics.set(common::gauge::active, load.open_jobs - load.queued_jobs());
   m_parts.metrics.set(common::gauge::workers_usable, load.usable_workers);
@@ -70,7 +71,7 @@
   if (!renew && !(spaced && m_scheduler->has_changes(now)) && !m_releasing)
     return;
   m_last_commit = now;
-  scheduling::commit_batch batch = m_scheduler->take_commit(m_options.most_commit_rows, now);
+  scheduling::commit_batch batch = m_scheduler->take_commit(m_options.max_commit_rows, now);
   // What comes while this commit is on its way is kept for the next owner: ends stay with their
   // workers, jobs and cancellations with the store. Under load there is always something.
   const bool release = m_releasing && batch.complete;
--- a/Source/Core/Node/EarlierOrders.cpp
+++ b/Source/Core/Node/PreviousOwnerRequests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Node/EarlierOrders.h"
+#include "Node/PreviousOwnerRequests.h"
 
 #include <algorithm>
 #include <chrono>
@@ -16,30 +16,30 @@
 constexpr std::chrono::milliseconds k_ask_period{250};
 } // namespace
 
-earlier_orders::earlier_orders(const common::timekeeper& time, std::string partition,
-                               sender send_to_peer)
+previous_owner_requests::previous_owner_requests(const common::timekeeper& time,
+                                                 std::string partition, sender send_to_peer)
     : m_time(time), m_partition(std::move(partition)), m_send_to_peer(std::move(send_to_peer))
 {
 }
 
-void earlier_orders::begin(const owner_watch& watch, std::uint64_t epoch)
+void previous_owner_requests::begin(const owner_watch& watch, std::uint64_t epoch)
 {
   m_before.emplace(watch);
   m_instance = watch.seen().version == 0 ? std::string() : watch.instance();
   m_epoch = epoch;
-  m_told = watch.seen().row.earlier_orders_end.has_value();
+  m_told = watch.seen().row.previous_requests_end.has_value();
   m_last_asked = {};
   count_again();
 }
 
-void earlier_orders::count_again()
+void previous_owner_requests::count_again()
 {
   const bool any = m_before && m_before->seen().version != 0;
-  m_end = any ? m_before->orders_end() : common::time_point{};
-  m_end_of_others = any ? m_before->predecessors_end() : common::time_point{};
+  m_end = any ? m_before->requests_end() : common::time_point{};
+  m_end_of_others = any ? m_before->predecessors_requests_end() : common::time_point{};
 }
 
-void earlier_orders::tick()
+void previous_owner_requests::tick()
 {
   const common::time_point now = m_time.now();
   if (m_instance.empty() || now >= m_end || now - m_last_asked < k_ask_period)
@@ -48,7 +48,7 @@
   m_send_to_peer(m_instance, common::orders_question{m_partition, m_epoch});
 }
 
-bool earlier_orders::on_reply(const std::string& peer, const common::orders_reply& reply)
+bool previous_owner_requests::on_reply(const std::string& peer, const common::orders_reply& reply)
 {
   if (peer != m_instance || reply.partition != m_partition || reply.epoch != m_epoch)
     return false;
--- a/Source/Core/Node/EarlierOrders.h
+++ b/Source/Core/Node/PreviousOwnerRequests.h
@@ -18,12 +18,13 @@
 
 namespace yardhill::node
 {
-class earlier_orders
+class previous_owner_requests
 {
 public:
   using sender = std::function<void(const std::string& peer, const common::peer_message&)>;
 
-  earlier_orders(const common::timekeeper& time, std::string partition, sender send_to_peer);
+  previous_owner_requests(const common::timekeeper& time, std::string partition,
+                          sender send_to_peer);
 
   // The partition is being taken over from the owner that `watch` has seen, as the owner `epoch`.
   void begin(const owner_watch& watch, std::uint64_t epoch);
--- a/Source/Core/Node/StoreClock.cpp
+++ b/Source/Core/Node/StoreClock.cpp
@@ -52,7 +52,7 @@
                 std::min(m_current->most, m_earlier->most)};
 }
 
-std::optional<adapter::store_time> store_clock::earliest_at(common::time_point moment) const
+std::optional<adapter::store_time> store_clock::earliest_store_time(common::time_point moment) const
 {
   const auto ahead = known();
   if (!ahead)
@@ -61,7 +61,7 @@
       std::chrono::floor<milliseconds>(moment.time_since_epoch() + ahead->least));
 }
 
-std::optional<adapter::store_time> store_clock::latest_at(common::time_point moment) const
+std::optional<adapter::store_time> store_clock::latest_store_time(common::time_point moment) const
 {
   const auto ahead = known();
   if (!ahead)
@@ -70,7 +70,7 @@
       std::chrono::ceil<milliseconds>(moment.time_since_epoch() + ahead->most));
 }
 
-std::optional<common::time_point> store_clock::latest_time_at(adapter::store_time moment) const
+std::optional<common::time_point> store_clock::latest_local_time(adapter::store_time moment) const
 {
   const auto ahead = known();
   if (!ahead)
@@ -80,7 +80,7 @@
 
 std::optional<common::duration> store_clock::age_of(adapter::store_time when) const
 {
-  const auto shown = earliest_at(m_time.now());
+  const auto shown = earliest_store_time(m_time.now());
   if (!shown)
     return std::nullopt;
   return std::max<common::duration>(*shown - when, common::duration{0});
--- a/Source/Core/Node/StoreClock.h
+++ b/Source/Core/Node/StoreClock.h
@@ -24,10 +24,10 @@
 
   // What the store's clock shows at that moment of ours: never too late or never too early, and off
   // by an answer's or a call's way at most. None before the first answer.
-  std::optional<adapter::store_time> earliest_at(common::time_point moment) const;
-  std::optional<adapter::store_time> latest_at(common::time_point moment) const;
+  std::optional<adapter::store_time> earliest_store_time(common::time_point moment) const;
+  std::optional<adapter::store_time> latest_store_time(common::time_point moment) const;
   // Our time at that moment of the store's: never too early.
-  std::optional<common::time_point> latest_time_at(adapter::store_time moment) const;
+  std::optional<common::time_point> latest_local_time(adapter::store_time moment) const;
   // How old what was known at `when` is by now, less an answer's way at most.
   std::optional<common::duration> age_of(adapter::store_time when) const;
 
--- a/Source/Core/Node/StorePath.h
+++ b/Source/Core/Node/StorePath.h
@@ -45,9 +45,9 @@
   void tick(common::time_point now);
 
   // Since when direct calls fail; none while they do not.
-  std::optional<common::time_point> bad_since() const { return m_bad_since; }
+  std::optional<common::time_point> direct_failing_since() const { return m_bad_since; }
   // When direct calls last began to be answered again; the beginning of time if they never failed.
-  common::time_point back_since() const { return m_back_since; }
+  common::time_point direct_restored_at() const { return m_back_since; }
   // Whether direct calls fail or the latest ones are overdue.
   bool in_doubt() const;
   // Whether this instance reaches neither the store nor another zone.
--- a/Source/Core/Node/TableFeed.cpp
+++ b/Source/Core/Node/TableFeed.cpp
@@ -65,7 +65,7 @@
     read_next();
   }
 
-  void read_parts(std::vector<std::string> parts) { m_parts = std::move(parts); }
+  void set_parts(std::vector<std::string> parts) { m_parts = std::move(parts); }
 
   void start_after(adapter::row_version version)
   {
@@ -96,7 +96,7 @@
     m_coming_since.reset();
   }
 
-  void gather(common::duration time) { m_handlers.gather = time; }
+  void set_batch_window(common::duration time) { m_handlers.batch_window = time; }
 
   void stop()
   {
@@ -252,10 +252,10 @@
       m_handlers.changed(result.rows);
     if (m_stopped)
       return;
-    if (result.rows.empty() || m_handlers.gather.count() == 0)
+    if (result.rows.empty() || m_handlers.batch_window.count() == 0)
       wait_for_changes();
     else
-      m_timer.start(m_handlers.gather, [this] { wait_for_changes(); });
+      m_timer.start(m_handlers.batch_window, [this] { wait_for_changes(); });
   }
 
   void succeeded()
@@ -338,9 +338,9 @@
   m_implementation->start();
 }
 
-void table_feed::read_parts(std::vector<std::string> parts)
+void table_feed::set_parts(std::vector<std::string> parts)
 {
-  m_implementation->read_parts(std::move(parts));
+  m_implementation->set_parts(std::move(parts));
 }
 
 void table_feed::pause()
@@ -348,9 +348,9 @@
   m_implementation->pause();
 }
 
-void table_feed::gather(common::duration time)
+void table_feed::set_batch_window(common::duration time)
 {
-  m_implementation->gather(time);
+  m_implementation->set_batch_window(time);
 }
 
 void table_feed::start_after(adapter::row_version version)
--- a/Source/Core/Node/TableFeed.h
+++ b/Source/Core/Node/TableFeed.h
@@ -28,7 +28,7 @@
   // has ended then.
   std::function<void()> expired;
   // Changes that come within this time of others are fetched together with them.
-  common::duration gather{0};
+  common::duration batch_window{0};
   // Only the newest state counts. Changes that are longer than the table itself are not taken:
   // it is read instead. A history grows with each version of a row that was missed, the table does
   // not (five versions of a row of 0.9 s: 4.5 s, read 0.9 s).
@@ -47,11 +47,11 @@
   // Also after a pause: everything is read anew.
   void start();
   // Reads these parts from the next start on.
-  void read_parts(std::vector<std::string> parts);
+  void set_parts(std::vector<std::string> parts);
   // Asks for nothing, and takes in no answer, until it is started again.
   void pause();
   // From now on changes are gathered for so long.
-  void gather(common::duration time);
+  void set_batch_window(common::duration time);
   // Continues behind a version up to which the rows are known already.
   void start_after(adapter::row_version version);
   // The store is back after a silence: whatever call waits for it is given up and made anew.
--- a/Source/UnitTests/Node/AdmissionTest.cpp
+++ b/Source/UnitTests/Node/AdmissionTest.cpp
@@ -20,7 +20,7 @@
 #include "platform/Ingress.h"
 
 using namespace yardhill;
-using node::accept_end;
+using node::accept_outcome;
 using node::fate;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -71,7 +71,7 @@
   node::configuration_watch configuration{time, feed, path, queues, seconds{5}};
   node::job_store jobs{time, store, store};
   std::vector<std::unique_ptr<node::partition_owner>> partitions;
-  node::layout_keeper keeper{time, store, 0};
+  node::layout_manager keeper{time, store, 0};
   node::state_desk states{time, [](const std::string&, const common::peer_message&) {}, partitions};
   std::optional<node::caller_gateway> gateway;
   std::optional<http::outgoing_answer> got;
@@ -122,7 +122,7 @@
 // A refusal of an overloaded partition, on the store's model.
 struct refusing : node::accepting
 {
-  accept_end refuse(std::deque<fate> fates)
+  accept_outcome refuse(std::deque<fate> fates)
   {
     got.reset();
     wire.fates = std::move(fates);
@@ -229,14 +229,14 @@
 
 BOOST_FIXTURE_TEST_CASE(a_refusal_is_written_before_it_is_told, refusing)
 {
-  BOOST_TEST((refuse({}) == accept_end::refused));
+  BOOST_TEST((refuse({}) == accept_outcome::refused));
   BOOST_TEST((got->evidence == node::row_evidence::marked));
   BOOST_TEST(!kept());
 }
 
 BOOST_FIXTURE_TEST_CASE(without_the_store_nothing_is_known, refusing)
 {
-  BOOST_TEST((refuse(std::deque<fate>(1000, fate::lost)) == accept_end::unknown));
+  BOOST_TEST((refuse(std::deque<fate>(1000, fate::lost)) == accept_outcome::unknown));
 }
 
 // The answer to the first submission is lost, and with it the caller's knowledge that it is kept.
@@ -244,7 +244,7 @@
 {
   wire.fates = {fate::answer_lost};
   submit([](const node::accept_result&) {});
-  BOOST_TEST((refuse({}) == accept_end::accepted));
+  BOOST_TEST((refuse({}) == accept_outcome::accepted));
   BOOST_TEST(!got->first);
   BOOST_TEST(kept());
 }
@@ -253,7 +253,7 @@
 {
   wire.fates = {fate::held, fate::lost};
   submit([](const node::accept_result&) {});
-  BOOST_TEST((refuse({}) == accept_end::refused));
+  BOOST_TEST((refuse({}) == accept_outcome::refused));
   wire.carry_out_held();
   BOOST_TEST(!kept());
 }
--- a/Source/UnitTests/Node/AuthorityTest.cpp
+++ b/Source/UnitTests/Node/AuthorityTest.cpp
@@ -52,7 +52,7 @@
   wire.turn_away = true; // before the next renewal
   BOOST_TEST_REQUIRE(owner.seen().version == renewal);
   const node::ownership_options options;
-  pass(std::chrono::ceil<milliseconds>(options.orders_end(renewed) - time.now()));
+  pass(std::chrono::ceil<milliseconds>(options.requests_end(renewed) - time.now()));
   BOOST_TEST(!owner.written_state(k_job).has_value());
 }
 
--- a/Source/UnitTests/Node/CellLayoutTest.cpp
+++ b/Source/UnitTests/Node/CellLayoutTest.cpp
@@ -17,9 +17,9 @@
 {
   const cell_layout layout(1);
   BOOST_TEST(layout.size() == 1U);
-  BOOST_TEST(layout.of_worker({"10.1.0.1", 80}) == node::k_whole_cell);
-  BOOST_TEST(layout.of_job("00000000000000aa").front() == node::k_whole_cell);
-  BOOST_TEST(layout.of_job("00000000000000aa").back() == node::k_whole_cell);
+  BOOST_TEST(layout.partition_of_worker({"10.1.0.1", 80}) == node::k_whole_cell);
+  BOOST_TEST(layout.partitions_of_job("00000000000000aa").front() == node::k_whole_cell);
+  BOOST_TEST(layout.partitions_of_job("00000000000000aa").back() == node::k_whole_cell);
 }
 
 // A partition with few of the cell's workers would be full while others have room.
@@ -31,9 +31,9 @@
   std::map<std::string, int> jobs;
   for (int i = 0; i < k_count; ++i)
   {
-    ++workers[layout.of_worker(
+    ++workers[layout.partition_of_worker(
         {"10." + std::to_string(i % 5) + ".64." + std::to_string(i / 5), 8022})];
-    const auto [first, second] = layout.of_job("job-" + std::to_string(i));
+    const auto [first, second] = layout.partitions_of_job("job-" + std::to_string(i));
     BOOST_TEST(first != second);
     ++jobs[first];
   }
--- a/Source/UnitTests/Node/JobStoreHarness.h
+++ b/Source/UnitTests/Node/JobStoreHarness.h
@@ -99,7 +99,8 @@
     job.queue = "queue";
     job.home = home;
     job.spec.steps.emplace_back();
-    jobs.accept(job, jobs.version_so_far(), time.now() + std::chrono::seconds{3}, std::move(done));
+    jobs.accept(job, jobs.newest_known_version(), time.now() + std::chrono::seconds{3},
+                std::move(done));
   }
 
   bool kept()
--- a/Source/UnitTests/Node/JobStoreTest.cpp
+++ b/Source/UnitTests/Node/JobStoreTest.cpp
@@ -14,7 +14,7 @@
 BOOST_FIXTURE_TEST_CASE(a_write_that_was_lost_is_refused_once_it_can_happen_no_more, accepting)
 {
   accept({fate::lost});
-  BOOST_TEST((got->end == node::accept_end::refused));
+  BOOST_TEST((got->end == node::accept_outcome::refused));
   BOOST_TEST(wire.calls == 2);
   BOOST_TEST(!kept());
 }
@@ -22,7 +22,7 @@
 BOOST_FIXTURE_TEST_CASE(a_write_whose_answer_was_lost_is_found_again, accepting)
 {
   accept({fate::answer_lost});
-  BOOST_TEST((got->end == node::accept_end::accepted));
+  BOOST_TEST((got->end == node::accept_outcome::accepted));
   BOOST_TEST(got->first); // so that the owner is told
 }
 
@@ -32,15 +32,15 @@
 {
   accept({fate::answer_lost, fate::turned_away, fate::turned_away, fate::turned_away,
           fate::turned_away, fate::turned_away});
-  BOOST_TEST((got->end != node::accept_end::refused || !kept()));
-  BOOST_TEST((got->end == node::accept_end::accepted));
+  BOOST_TEST((got->end != node::accept_outcome::refused || !kept()));
+  BOOST_TEST((got->end == node::accept_outcome::accepted));
 }
 
 // Nothing was done by this submission, but an earlier one of the same id may be kept.
 BOOST_FIXTURE_TEST_CASE(calls_that_were_all_turned_away_tell_nothing_of_the_job, accepting)
 {
   accept(std::deque<fate>(20, fate::turned_away));
-  BOOST_TEST((got->end == node::accept_end::unknown));
+  BOOST_TEST((got->end == node::accept_outcome::unknown));
   BOOST_TEST(wire.calls == 9); // in 2.8 s
   BOOST_TEST(!kept());
 }
@@ -53,14 +53,14 @@
   BOOST_TEST(got->first);
   home = "cell-1-of-2";
   accept({fate::lost});
-  BOOST_TEST((got->end == node::accept_end::accepted));
+  BOOST_TEST((got->end == node::accept_outcome::accepted));
   BOOST_TEST(!got->first);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_submission_is_kept_as_soon_as_the_store_takes_it, accepting)
 {
   accept({fate::turned_away, fate::turned_away, fate::turned_away, fate::turned_away});
-  BOOST_TEST((got->end == node::accept_end::accepted));
+  BOOST_TEST((got->end == node::accept_outcome::accepted));
   BOOST_TEST(got->first);
   BOOST_TEST(wire.calls == 5);
   BOOST_TEST(kept());
--- a/Source/UnitTests/Node/LateRefusalTest.cpp
+++ b/Source/UnitTests/Node/LateRefusalTest.cpp
@@ -12,7 +12,7 @@
 #include "Node/JobStoreHarness.h"
 
 using namespace yardhill;
-using node::accept_end;
+using node::accept_outcome;
 using node::accept_result;
 using node::accepting;
 using node::fate;
@@ -47,11 +47,11 @@
   hand_in(second);
   run_for(milliseconds{20});
   BOOST_TEST_REQUIRE(second.has_value());
-  BOOST_TEST_REQUIRE((second->end == accept_end::refused));
+  BOOST_TEST_REQUIRE((second->end == accept_outcome::refused));
   BOOST_TEST_REQUIRE(!first.has_value());
   run_for(std::chrono::seconds{4});
   BOOST_TEST_REQUIRE(first.has_value());
-  BOOST_TEST((first->end != accept_end::accepted));
+  BOOST_TEST((first->end != accept_outcome::accepted));
   BOOST_TEST(!kept());
 }
 
@@ -61,11 +61,11 @@
   hand_in(second);
   run_for(milliseconds{20});
   BOOST_TEST_REQUIRE(second.has_value());
-  BOOST_TEST_REQUIRE((second->end == accept_end::refused));
+  BOOST_TEST_REQUIRE((second->end == accept_outcome::refused));
   hand_in(first);
   run_for(milliseconds{20});
   BOOST_TEST_REQUIRE(first.has_value());
-  BOOST_TEST((first->end == accept_end::accepted));
+  BOOST_TEST((first->end == accept_outcome::accepted));
   BOOST_TEST(kept());
 }
 
--- a/Source/UnitTests/Node/LayoutKeeperTest.cpp
+++ b/Source/UnitTests/Node/LayoutManagerTest.cpp
@@ -3,7 +3,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "Node/LayoutKeeper.h"
+#include "Node/LayoutManager.h"
 #include "Node/OwnerHarness.h"
 
 using namespace yardhill;
@@ -20,8 +20,8 @@
   common::metrics metrics;
   node::store_wire wire{time};
   adapter::store_client store{wire, metrics, nullptr};
-  node::layout_keeper keeper{time, store, 0};
-  node::layout_keeper other{time, store, 0};
+  node::layout_manager keeper{time, store, 0};
+  node::layout_manager other{time, store, 0};
 
   keeping()
   {
@@ -29,7 +29,7 @@
     other.rows_read();
   }
 
-  void pass(node::layout_keeper& which, cell_size size, milliseconds span)
+  void pass(node::layout_manager& which, cell_size size, milliseconds span)
   {
     const auto end = time.now() + span;
     while (time.now() < end)
@@ -39,14 +39,14 @@
     }
   }
 
-  std::size_t partitions(const node::layout_keeper& which) const
+  std::size_t partitions(const node::layout_manager& which) const
   {
     return which.layout() ? which.layout()->size() : 0;
   }
 };
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(LayoutKeeperTest)
+BOOST_AUTO_TEST_SUITE(LayoutManagerTest)
 
 BOOST_FIXTURE_TEST_CASE(few_instances_make_one_partition_whatever_the_workers, keeping)
 {
@@ -61,11 +61,11 @@
 {
   for (std::size_t workers = 0; workers <= 1100; workers += 110)
     pass(keeper, {147, workers}, milliseconds{400});
-  BOOST_TEST(keeper.wants_workers());
+  BOOST_TEST(keeper.needs_worker_count());
   BOOST_TEST(partitions(keeper) == 0U);
   pass(keeper, {147, 1100}, seconds{2});
   BOOST_TEST(partitions(keeper) == 4U);
-  BOOST_TEST(!keeper.wants_workers());
+  BOOST_TEST(!keeper.needs_worker_count());
 }
 
 BOOST_FIXTURE_TEST_CASE(many_instances_with_few_workers_make_one_partition, keeping)
--- a/Source/UnitTests/Node/OwnerHarness.h
+++ b/Source/UnitTests/Node/OwnerHarness.h
@@ -97,7 +97,7 @@
 
   owner_under_test() { queues.version = 1; }
 
-  node_parts parts()
+  owner_dependencies parts()
   {
     return {time,
             store,
--- a/Source/UnitTests/Node/OwnerWatchTest.cpp
+++ b/Source/UnitTests/Node/OwnerWatchTest.cpp
@@ -52,7 +52,7 @@
 BOOST_FIXTURE_TEST_CASE(a_partition_without_an_owner_is_left_to_a_stronger_instance, watched_owner)
 {
   BOOST_TEST(!due(true));
-  pass(options.leave_to_stronger);
+  pass(options.stronger_peer_takeover_delay);
   BOOST_TEST(due(true)); // it does not take it
   see("", "life-2", 5);
   BOOST_TEST(!due(true));
@@ -61,22 +61,22 @@
 BOOST_FIXTURE_TEST_CASE(a_silent_owners_partition_is_left_to_a_stronger_instance, watched_owner)
 {
   see("instance-2", "life-2", 5);
-  watch.peer_link("instance-2", false);
-  pass(options.silence_unlinked + milliseconds{1});
+  watch.peer_link_changed("instance-2", false);
+  pass(options.silence_timeout_unlinked + milliseconds{1});
   BOOST_TEST(due(false));
   BOOST_TEST(!due(true));
-  pass(options.leave_to_stronger);
+  pass(options.stronger_peer_takeover_delay);
   BOOST_TEST(due(true));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_linked_owner_has_more_time_than_a_silent_one, watched_owner)
 {
   see("instance-2", "life-2", 5);
-  pass(options.silence_unlinked + milliseconds{1});
+  pass(options.silence_timeout_unlinked + milliseconds{1});
   BOOST_TEST(!due());
-  watch.peer_link("instance-2", false);
+  watch.peer_link_changed("instance-2", false);
   BOOST_TEST(due());
-  watch.peer_link("instance-2", true);
+  watch.peer_link_changed("instance-2", true);
   BOOST_TEST(!due());
   pass(options.silence);
   BOOST_TEST(due());
@@ -85,7 +85,7 @@
 BOOST_FIXTURE_TEST_CASE(a_renewal_gives_time_anew, watched_owner)
 {
   see("instance-2", "life-2", 5);
-  watch.peer_link("instance-2", false);
+  watch.peer_link_changed("instance-2", false);
   pass(milliseconds{700});
   see("instance-2", "life-2", 6);
   pass(milliseconds{700});
@@ -96,7 +96,7 @@
 {
   see("instance-1", "life-0", 5);
   BOOST_TEST(due());
-  BOOST_TEST((watch.orders_end() == watch.seen().changed_at));
+  BOOST_TEST((watch.requests_end() == watch.seen().changed_at));
 }
 
 // The one before it may be frozen, or cut off from the store, and go on with its orders.
@@ -104,12 +104,12 @@
                         watched_owner)
 {
   see("instance-1", "life-0", 5, 2, 0);
-  BOOST_TEST((watch.orders_end() == options.orders_end(watch.seen().changed_at)));
+  BOOST_TEST((watch.requests_end() == options.requests_end(watch.seen().changed_at)));
   see("instance-1", "life-0", 6, 2, 7);
-  BOOST_TEST((watch.orders_end() ==
-              options.orders_end(watch.seen().changed_at) - 4 * options.renew_period));
+  BOOST_TEST((watch.requests_end() ==
+              options.requests_end(watch.seen().changed_at) - 4 * options.renew_period));
   see("instance-1", "life-0", 7, 2, 100); // 49 s
-  BOOST_TEST((watch.orders_end() == watch.seen().changed_at));
+  BOOST_TEST((watch.requests_end() == watch.seen().changed_at));
 }
 
 // Owners were lost every tenth of a second, and each successor counted 5 s anew for one that had
@@ -123,13 +123,13 @@
   row.holder = "instance-2";
   row.life = "life-2";
   row.epoch = 3;
-  row.earlier_orders_end = shown + milliseconds{700};
+  row.previous_requests_end = shown + milliseconds{700};
   watch.take_in({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 5});
-  BOOST_TEST((watch.orders_end() >= time.now() + milliseconds{700}));
-  BOOST_TEST((watch.orders_end() <= time.now() + milliseconds{702}));
+  BOOST_TEST((watch.requests_end() >= time.now() + milliseconds{700}));
+  BOOST_TEST((watch.requests_end() <= time.now() + milliseconds{702}));
   row.renewal = 1;
   watch.take_in({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 6});
-  BOOST_TEST((watch.orders_end() == options.orders_end(watch.seen().changed_at)));
+  BOOST_TEST((watch.requests_end() == options.requests_end(watch.seen().changed_at)));
 }
 
 BOOST_FIXTURE_TEST_CASE(an_owner_that_gave_the_partition_back_is_remembered, watched_owner)
@@ -147,9 +147,9 @@
 {
   see("instance-2", "life-2", 5);
   BOOST_TEST(
-      (watch.orders_end() >= watch.seen().changed_at + options.renew_period + options.authority));
+      (watch.requests_end() >= watch.seen().changed_at + options.renew_period + options.authority));
   // What the scheduler calls a fresh word must be over before anybody takes over.
-  BOOST_TEST((scheduling::scheduler_options{}.fresh_word < options.silence_unlinked));
+  BOOST_TEST((scheduling::scheduler_options{}.fresh_word < options.silence_timeout_unlinked));
 }
 
 BOOST_FIXTURE_TEST_CASE(older_and_damaged_rows_are_left_out, watched_owner)
--- a/Source/UnitTests/Node/PartitionOwnerTest.cpp
+++ b/Source/UnitTests/Node/PartitionOwnerTest.cpp
@@ -99,7 +99,7 @@
   const adapter::row renewal = owner_row();
   BOOST_TEST(node::owner_row_from(renewal.value)->renewal > 0U);
   path.send_directly({http::method::get, "/probe", {}, {}}, seconds{1}, [](const http::reply&) {});
-  BOOST_TEST_REQUIRE(path.bad_since().has_value());
+  BOOST_TEST_REQUIRE(path.direct_failing_since().has_value());
   pass(milliseconds{2500});
   BOOST_TEST_REQUIRE(!owner.owns());
   owner.owner_row_changed(renewal);
@@ -149,7 +149,7 @@
     wire.store.forget_history();
     time.run_until(time.now() + milliseconds{1});
     if (heard)
-      owner.store_heard();
+      owner.on_store_reachable();
     time.run_until(time.now() + milliseconds{60});
     return wire.calls - before;
   };
@@ -176,7 +176,7 @@
   pass(milliseconds{200});
   BOOST_TEST(!owner.owns());
   entries_known = true;
-  owner.workers_read();
+  owner.worker_entries_read();
   BOOST_TEST(owner.owns());
 }
 
--- a/Source/UnitTests/Node/EarlierOrdersTest.cpp
+++ b/Source/UnitTests/Node/PreviousOwnerRequestsTest.cpp
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-#include "Node/EarlierOrders.h"
+#include "Node/PreviousOwnerRequests.h"
 #include "UnitTests/Node/OwnerHarness.h"
 
 using namespace yardhill;
@@ -40,9 +40,9 @@
   node::store_clock clock{time};
   node::owner_watch watch{time, clock, {"instance-1", "life-1"}, "cell", options};
   std::vector<std::string> asked;
-  node::earlier_orders earlier{time, "cell",
-                               [this](const std::string& peer, const common::peer_message&)
-                               { asked.push_back(peer); }};
+  node::previous_owner_requests earlier{time, "cell",
+                                        [this](const std::string& peer, const common::peer_message&)
+                                        { asked.push_back(peer); }};
 };
 
 // Keeps what an instance sends to its peers.
@@ -53,7 +53,7 @@
 
   answering_owner()
   {
-    node::node_parts given = parts();
+    node::owner_dependencies given = parts();
     given.send_to_peer = [this](const std::string&, const common::peer_message& message)
     {
       if (const auto* const reply = std::get_if<orders_reply>(&message))
@@ -76,12 +76,12 @@
 
   void ask(std::uint64_t epoch) const
   {
-    instance->on_orders_question("instance-3", {node::k_partition, epoch});
+    instance->on_orders_query("instance-3", {node::k_partition, epoch});
   }
 };
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(EarlierOrdersTest)
+BOOST_AUTO_TEST_SUITE(PreviousOwnerRequestsTest)
 
 BOOST_FIXTURE_TEST_CASE(the_earlier_owners_instance_is_asked_until_it_answers, taken_over)
 {
@@ -100,7 +100,7 @@
 
 BOOST_FIXTURE_TEST_CASE(orders_are_over_since_the_instance_is_quiet, taken_over)
 {
-  BOOST_TEST((earlier.end() == watch.orders_end()));
+  BOOST_TEST((earlier.end() == watch.requests_end()));
   BOOST_TEST(earlier.on_reply(k_earlier, {"cell", 5, 100}));
   BOOST_TEST((earlier.end() == time.now() - milliseconds{100}));
 }
@@ -110,7 +110,7 @@
   BOOST_TEST(!earlier.on_reply("instance-3", {"cell", 5, 100}));
   BOOST_TEST(!earlier.on_reply(k_earlier, {"cell", 4, 100})); // asked at an earlier takeover
   BOOST_TEST(!earlier.on_reply(k_earlier, {"other", 5, 100}));
-  BOOST_TEST((earlier.end() == watch.orders_end()));
+  BOOST_TEST((earlier.end() == watch.requests_end()));
 }
 
 // The owner before the latest one may still give orders.
@@ -118,7 +118,7 @@
 {
   taken_over taken(5);
   BOOST_TEST(taken.earlier.on_reply(k_earlier, {"cell", 5, 100}));
-  BOOST_TEST((taken.earlier.end() == taken.watch.orders_end() - 2 * taken.options.renew_period));
+  BOOST_TEST((taken.earlier.end() == taken.watch.requests_end() - 2 * taken.options.renew_period));
 }
 
 // As that owner wrote it, on the clock that all share.
@@ -127,7 +127,7 @@
   taken_over taken(4);
   taken.clock.heard(adapter::store_time{milliseconds{500000}}, taken.time.now());
   node::owner_row row = taken.watch.seen().row;
-  row.earlier_orders_end = adapter::store_time{milliseconds{500700}};
+  row.previous_requests_end = adapter::store_time{milliseconds{500700}};
   taken.watch.written(row, 10);
   taken.earlier.begin(taken.watch, 5);
   BOOST_TEST(taken.earlier.on_reply(k_earlier, {"cell", 5, 100}));
@@ -149,11 +149,11 @@
   row.life = "life-0";
   row.epoch = 4;
   row.renewal = 1;
-  row.earlier_orders_end = adapter::store_time{milliseconds{500700}};
+  row.previous_requests_end = adapter::store_time{milliseconds{500700}};
   watch.take_in({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 9});
-  node::earlier_orders earlier{time, "cell", [](const std::string&, const auto&) {}};
+  node::previous_owner_requests earlier{time, "cell", [](const std::string&, const auto&) {}};
   earlier.begin(watch, 5);
-  BOOST_TEST((earlier.end() == options.orders_end(time.now())));
+  BOOST_TEST((earlier.end() == options.requests_end(time.now())));
   clock.heard(adapter::store_time{milliseconds{500000}}, time.now());
   earlier.count_again();
   BOOST_TEST((earlier.end() >= time.now() + milliseconds{700}));
--- a/Source/UnitTests/Node/RefusalTest.cpp
+++ b/Source/UnitTests/Node/RefusalTest.cpp
@@ -185,21 +185,21 @@
   accept({});
   BOOST_TEST_REQUIRE(kept());
   accept(std::deque<fate>(20, fate::turned_away));
-  BOOST_TEST((got->end == node::accept_end::unknown));
+  BOOST_TEST((got->end == node::accept_outcome::unknown));
 }
 
 // The mark of an earlier refusal may be about to be replaced by a write that is still on its way.
 BOOST_FIXTURE_TEST_CASE(a_mark_that_another_call_wrote_settles_nothing, accepting)
 {
   accept({fate::lost}); // refused: the mark is there
-  BOOST_TEST_REQUIRE((got->end == node::accept_end::refused));
+  BOOST_TEST_REQUIRE((got->end == node::accept_outcome::refused));
   std::deque<fate> fates(60, fate::turned_away);
   fates.push_front(fate::held);
   fates.push_front(fate::answered); // it finds the mark, and its next write is on its way for long
   accept(std::move(fates));
   BOOST_TEST_REQUIRE(wire.held.size() == 1U);
   accept({fate::lost});
-  const bool refused = got->end == node::accept_end::refused;
+  const bool refused = got->end == node::accept_outcome::refused;
   wire.carry_out_held();
   BOOST_TEST((!refused || !kept()));
 }
@@ -214,9 +214,9 @@
   std::optional<node::accept_result> second;
   submit([&second](const node::accept_result& result) { second = result; });
   time.run_until(time.now() + seconds{4});
-  BOOST_TEST_REQUIRE((second && second->end == node::accept_end::refused));
+  BOOST_TEST_REQUIRE((second && second->end == node::accept_outcome::refused));
   BOOST_TEST_REQUIRE(first.has_value());
-  BOOST_TEST((first->end == node::accept_end::unknown));
+  BOOST_TEST((first->end == node::accept_outcome::unknown));
   BOOST_TEST(!kept());
 }
 
@@ -234,9 +234,9 @@
 BOOST_FIXTURE_TEST_CASE(a_job_that_was_refused_may_be_handed_in_again, accepting)
 {
   accept({fate::lost});
-  BOOST_TEST_REQUIRE((got->end == node::accept_end::refused));
+  BOOST_TEST_REQUIRE((got->end == node::accept_outcome::refused));
   accept({});
-  BOOST_TEST((got->end == node::accept_end::accepted));
+  BOOST_TEST((got->end == node::accept_outcome::accepted));
   BOOST_TEST(kept());
 }
 
--- a/Source/UnitTests/Node/StateDeskTest.cpp
+++ b/Source/UnitTests/Node/StateDeskTest.cpp
@@ -81,7 +81,7 @@
 
 BOOST_FIXTURE_TEST_CASE(the_owner_tells_the_state_of_a_job_it_knows, two_instances)
 {
-  owning.front()->job_kept_here(small_job(), 1000);
+  owning.front()->job_accepted_here(small_job(), 1000);
   ask();
   BOOST_TEST(answered);
   BOOST_TEST_REQUIRE(state.has_value());
@@ -90,7 +90,7 @@
 
 BOOST_FIXTURE_TEST_CASE(a_final_state_is_told_once_it_is_written, two_instances)
 {
-  owning.front()->job_kept_here(small_job(), 1000);
+  owning.front()->job_accepted_here(small_job(), 1000);
   owning.front()->job_cancelled_here(k_id);
   ask();
   BOOST_TEST_REQUIRE(state.has_value());
--- a/Source/UnitTests/Node/StoreClockRestartTest.cpp
+++ b/Source/UnitTests/Node/StoreClockRestartTest.cpp
@@ -29,11 +29,11 @@
   hear(milliseconds{40});
 
   const common::time_point lease_end = time.now() + seconds{3};
-  const auto stated = clock.latest_at(lease_end);
+  const auto stated = clock.latest_store_time(lease_end);
   BOOST_TEST_REQUIRE(stated.has_value());
   BOOST_TEST((*stated >= store_time{milliseconds{3040}}));
   BOOST_TEST((*stated <= store_time{milliseconds{3050}}));
-  const auto read = clock.latest_time_at(*stated);
+  const auto read = clock.latest_local_time(*stated);
   BOOST_TEST_REQUIRE(read.has_value());
   BOOST_TEST((*read >= lease_end));
   BOOST_TEST((*read <= lease_end + milliseconds{20}));
--- a/Source/UnitTests/Node/StoreClockTest.cpp
+++ b/Source/UnitTests/Node/StoreClockTest.cpp
@@ -68,9 +68,9 @@
 
 BOOST_FIXTURE_TEST_CASE(nothing_is_known_before_the_first_answer, shared_clock)
 {
-  BOOST_TEST(!clock.earliest_at(time.now()).has_value());
-  BOOST_TEST(!clock.latest_at(time.now()).has_value());
-  BOOST_TEST(!clock.latest_time_at(k_begin).has_value());
+  BOOST_TEST(!clock.earliest_store_time(time.now()).has_value());
+  BOOST_TEST(!clock.latest_store_time(time.now()).has_value());
+  BOOST_TEST(!clock.latest_local_time(k_begin).has_value());
   BOOST_TEST(!clock.age_of(k_begin).has_value());
 }
 
@@ -80,20 +80,20 @@
   hear(milliseconds{2});
   hear(milliseconds{300});
   pass(milliseconds{1000});
-  BOOST_TEST((clock.earliest_at(time.now()) == shown() - milliseconds{2}));
-  BOOST_TEST((clock.earliest_at(begin) == k_begin - milliseconds{2}));
+  BOOST_TEST((clock.earliest_store_time(time.now()) == shown() - milliseconds{2}));
+  BOOST_TEST((clock.earliest_store_time(begin) == k_begin - milliseconds{2}));
   BOOST_TEST((clock.age_of(k_begin) == milliseconds{998}));
 }
 
 BOOST_FIXTURE_TEST_CASE(the_call_with_the_shortest_way_counts, shared_clock)
 {
   hear(milliseconds{0}, milliseconds{60});
-  const auto before = clock.latest_at(time.now());
+  const auto before = clock.latest_store_time(time.now());
   hear(milliseconds{0}, milliseconds{5000});
-  BOOST_TEST((clock.latest_at(time.now()) == before));
+  BOOST_TEST((clock.latest_store_time(time.now()) == before));
   hear(milliseconds{1}, milliseconds{1});
-  BOOST_TEST((clock.latest_at(time.now()) < before));
-  BOOST_TEST((clock.latest_at(time.now()) >= shown()));
+  BOOST_TEST((clock.latest_store_time(time.now()) < before));
+  BOOST_TEST((clock.latest_store_time(time.now()) >= shown()));
 }
 
 BOOST_FIXTURE_TEST_CASE(what_is_known_from_the_future_is_not_old, shared_clock)
@@ -111,7 +111,7 @@
     pass(seconds{1});
     hear(milliseconds{2 * i});
   }
-  const auto now = clock.earliest_at(time.now());
+  const auto now = clock.earliest_store_time(time.now());
   BOOST_TEST_REQUIRE(now.has_value());
   BOOST_TEST((shown() - *now >= milliseconds{20}));
 }
@@ -120,26 +120,26 @@
 {
   hear(milliseconds{0}, milliseconds{60});
   pass(seconds{91});
-  const auto before = clock.latest_at(time.now());
+  const auto before = clock.latest_store_time(time.now());
   hear(milliseconds{1000}, milliseconds{1000});
-  BOOST_TEST((clock.latest_at(time.now()) > before));
+  BOOST_TEST((clock.latest_store_time(time.now()) > before));
 }
 
 BOOST_FIXTURE_TEST_CASE(without_answers_the_latest_known_goes_on, shared_clock)
 {
   hear(milliseconds{3});
   pass(seconds{60});
-  BOOST_TEST((clock.earliest_at(time.now()) == shown() - milliseconds{3}));
+  BOOST_TEST((clock.earliest_store_time(time.now()) == shown() - milliseconds{3}));
 }
 
 // Wherever in its way the call met the store.
 BOOST_FIXTURE_TEST_CASE(a_moment_told_to_another_machine_is_never_too_early, two_machines)
 {
-  const auto stored = ours.clock.latest_at(ours.at(k_moment));
+  const auto stored = ours.clock.latest_store_time(ours.at(k_moment));
   BOOST_TEST_REQUIRE(stored.has_value());
   BOOST_TEST((*stored >= k_moment));
   BOOST_TEST((*stored <= k_moment + milliseconds{22}));
-  const auto read = theirs.clock.latest_time_at(*stored);
+  const auto read = theirs.clock.latest_local_time(*stored);
   BOOST_TEST_REQUIRE(read.has_value());
   BOOST_TEST((*read >= theirs.at(k_moment)));
   BOOST_TEST((*read <= theirs.at(k_moment) + milliseconds{25}));
--- a/Source/UnitTests/Node/StorePathTest.cpp
+++ b/Source/UnitTests/Node/StorePathTest.cpp
@@ -115,7 +115,7 @@
   BOOST_TEST_REQUIRE(got.has_value());
   BOOST_TEST(!got->answered());
   BOOST_TEST(relayed.empty());
-  BOOST_TEST(path.bad_since().has_value());
+  BOOST_TEST(path.direct_failing_since().has_value());
 }
 
 // Thies, trouble-1, 16.5 s: the store fell silent for the owner alone; its commit waited 0.9 s for
@@ -234,7 +234,7 @@
   BOOST_TEST_REQUIRE(direct.calls.size() == 1U);
   BOOST_TEST(direct.calls.front().call.target == "/probe");
   direct.answer(k_ok);
-  BOOST_TEST(!path.bad_since().has_value());
+  BOOST_TEST(!path.direct_failing_since().has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(a_peer_that_has_no_way_either_says_so, path_under_test)
@@ -276,7 +276,7 @@
   call(http::method::post);
   direct.answer(k_ok);
   first.done(k_reset);
-  BOOST_TEST(!path.bad_since().has_value());
+  BOOST_TEST(!path.direct_failing_since().has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(a_silent_store_and_silent_other_zones_mean_isolation, path_under_test)
@@ -359,17 +359,17 @@
   peers.linked("peer", "other zone");
   answer_all(200, milliseconds{300});
   answer_all(429, milliseconds{200});
-  BOOST_TEST(!path.bad_since().has_value());
+  BOOST_TEST(!path.direct_failing_since().has_value());
   BOOST_TEST(relayed.empty());
   answer_all(429, milliseconds{400});
-  BOOST_TEST(path.bad_since().has_value());
+  BOOST_TEST(path.direct_failing_since().has_value());
   BOOST_TEST(!relayed.empty());
   // Probes that meet the same do not make the way good again.
   relayed.clear();
   answer_all(429, milliseconds{1500});
-  BOOST_TEST(path.bad_since().has_value());
+  BOOST_TEST(path.direct_failing_since().has_value());
   answer_all(200, milliseconds{1000});
-  BOOST_TEST(!path.bad_since().has_value());
+  BOOST_TEST(!path.direct_failing_since().has_value());
 }
 
 // A store at its rate turns some calls away; through a peer there would be no fewer.
@@ -381,7 +381,7 @@
     answer_all(429, milliseconds{200});
     answer_all(200, milliseconds{100});
   }
-  BOOST_TEST(!path.bad_since().has_value());
+  BOOST_TEST(!path.direct_failing_since().has_value());
   BOOST_TEST(relayed.empty());
 }
 
