--- a/Source/Core/Node/StorePath.cpp
+++ b/Source/Core/Node/StorePath.cpp
@@ -15,29 +15,33 @@
 {
 namespace
 {
-// How often a bad direct way is tried, and how long an answer may take then.
+// How often the store is probed directly while direct calls fail, and how long a probe may take.
 constexpr std::chrono::milliseconds k_probe_period{500};
 constexpr std::chrono::milliseconds k_probe_timeout{450};
-// Taken off a relayed call's own timeout: the way to the peer and back.
-constexpr std::chrono::milliseconds k_relay_way{50};
-// The store answers in 4 ms. With a silence of this length a peer may know better ...
-constexpr std::chrono::milliseconds k_doubt{250};
-// ... unless answers have become slow: then as many times what the latest one took. Copies of calls
-// that are only slow would give a slow store twice the work, and it turns calls away by its rate.
-constexpr int k_slow_doubt = 3;
+// Subtracted from a relayed call's timeout to cover the round trip to the peer.
+constexpr std::chrono::milliseconds k_relay_round_trip{50};
+// A healthy store answers in 4 ms. If a call has had no reply for this long, a peer may have a
+// better path to the store ...
+constexpr std::chrono::milliseconds k_doubt_timeout{250};
+// ... unless replies have become slow: then the bound is this multiple of the latest latency.
+// Copying calls that are merely slow would double the load of a slow store, and the store rejects
+// calls above its rate limit.
+constexpr int k_doubt_latency_factor = 3;
 
-http::reply no_way()
+http::reply no_path_reply()
 {
   return {0, {}, "no way to the store", true};
 }
 
-// The store is at its rate, or turns this instance away: one answer does not tell which.
-constexpr unsigned k_too_many = 429;
-// So many in a row, over the time of a doubt and with no other answer between, tell that it is this
-// instance: a store at its rate answers some calls, and answers the feeds.
-constexpr unsigned k_in_a_row = 3;
+// HTTP status 429: the store is at its rate limit, or it rejects this instance. A single reply does
+// not tell which.
+constexpr unsigned k_too_many_requests = 429;
+// This many replies of status 429 in a row, over at least k_doubt_timeout and with no other reply
+// in between, mean that the store rejects this instance: a store at its rate limit still answers
+// some calls, and answers the feeds.
+constexpr unsigned k_too_many_requests_in_a_row = 3;
 
-bool turned_away(const http::reply& answer)
+bool is_unavailable(const http::reply& answer)
 {
   return !answer.answered() || answer.status == 503;
 }
@@ -55,129 +59,135 @@
 {
 }
 
-void store_path::note(const http::reply& answer, common::time_point began)
+void store_path::record_reply(const http::reply& answer, common::time_point began)
 {
-  if (answer.status == k_too_many)
+  if (answer.status == k_too_many_requests)
   {
-    note_too_many(began);
+    record_too_many_requests(began);
     return;
   }
-  if (!turned_away(answer))
+  if (!is_unavailable(answer))
   {
-    m_too_many = 0;
-    m_last_heard = m_time.now();
-    if (!m_bad_since)
+    m_too_many_requests = 0;
+    m_last_received = m_time.now();
+    if (!m_direct_failing_since)
       return;
-    common::log_process("store_heard", {{"silent_ms", m_time.now() - *m_bad_since}});
-    m_bad_since.reset();
-    m_back_since = m_time.now();
+    common::log_process("store_heard", {{"silent_ms", m_time.now() - *m_direct_failing_since}});
+    m_direct_failing_since.reset();
+    m_direct_restored_at = m_time.now();
     return;
   }
-  // A single lost answer, if the store has answered a later call.
-  if (m_bad_since || (!answer.answered() && m_last_heard > began))
+  // If the store has answered since this call began, only this call's reply was lost.
+  if (m_direct_failing_since || (!answer.answered() && m_last_received > began))
     return;
-  lost(answer.status, answer.failure);
+  mark_failing(answer.status, answer.failure);
 }
 
-void store_path::lost(unsigned status, const std::string& failure)
+void store_path::mark_failing(unsigned status, const std::string& failure)
 {
-  m_bad_since = m_time.now();
-  m_last_probe = *m_bad_since;
+  m_direct_failing_since = m_time.now();
+  m_last_probe = *m_direct_failing_since;
   common::log_process("store_lost", {{"status", status}, {"failure", failure}});
 }
 
-void store_path::note_too_many(common::time_point began)
+void store_path::record_too_many_requests(common::time_point began)
 {
-  if (m_bad_since || m_last_heard > began)
+  if (m_direct_failing_since || m_last_received > began)
     return;
-  if (m_too_many++ == 0)
-    m_too_many_since = m_time.now();
-  if (m_too_many >= k_in_a_row && m_time.now() - m_too_many_since >= k_doubt)
-    lost(k_too_many, "nothing but this for a while");
+  if (m_too_many_requests++ == 0)
+    m_too_many_requests_since = m_time.now();
+  if (m_too_many_requests >= k_too_many_requests_in_a_row &&
+      m_time.now() - m_too_many_requests_since >= k_doubt_timeout)
+    mark_failing(k_too_many_requests, "no other status for a while");
 }
 
 void store_path::send_directly(http::request call, common::duration timeout,
                                http::reply_handler done)
 {
-  // Bytes of a long answer show as well as an answer does that the store is there.
+  // Received bytes of a long reply prove as well as a whole reply that the store is reachable.
   if (call.expects)
     call.expects->coming = [this, coming = std::move(call.expects->coming)]
     {
-      m_last_heard = m_time.now();
+      m_last_received = m_time.now();
       if (coming)
         coming();
     };
   m_client.send(m_store, std::move(call), timeout,
                 [this, began = m_time.now(), done = std::move(done)](http::reply answer)
                 {
-                  note(answer, began);
+                  record_reply(answer, began);
                   done(std::move(answer));
                 });
 }
 
 bool store_path::in_doubt() const
 {
-  if (m_bad_since)
+  if (m_direct_failing_since)
     return true;
-  if (m_under_way.empty())
+  if (m_in_flight.empty())
     return false;
-  const common::time_point silent_since = std::max(m_under_way.begin()->second.began, m_last_heard);
-  return m_time.now() - silent_since > patience();
+  const common::time_point silent_since =
+      std::max(m_in_flight.begin()->second.began, m_last_received);
+  return m_time.now() - silent_since > doubt_timeout();
 }
 
-common::duration store_path::patience() const
+common::duration store_path::doubt_timeout() const
 {
-  return std::max<common::duration>(k_doubt, k_slow_doubt * m_latest_took);
+  return std::max<common::duration>(k_doubt_timeout, k_doubt_latency_factor * m_latest_latency);
 }
 
 void store_path::send(http::request call, common::duration timeout, http::reply_handler done)
 {
-  // A slow store is slow for the peers as well; they say so.
-  if (m_bad_since || isolated() || (in_doubt() && m_peers.way_through()))
+  // While the direct path is only in doubt, calls are relayed only if a peer reports that it
+  // reaches the store: a slow store is slow for the peers as well, and they report that.
+  if (m_direct_failing_since || isolated() || (in_doubt() && m_peers.way_through()))
   {
     relay(std::move(call), timeout, std::move(done));
     return;
   }
-  // Calls of feeds wait for news; these are answered at once if the store is well.
-  const std::uint64_t number = ++m_number;
-  m_under_way[number] = {m_time.now(), call, timeout, std::move(done), false};
+  // Calls of this function are watched for overdue replies, since a healthy store answers them at
+  // once. Calls of feeds wait for changes; they use send_directly().
+  const std::uint64_t number = ++m_last_call_number;
+  m_in_flight[number] = {m_time.now(), call, timeout, std::move(done), false};
   send_directly(std::move(call), timeout,
                 [this, number, began = m_time.now()](http::reply answer)
                 {
-                  if (!turned_away(answer) && answer.status != k_too_many)
-                    m_latest_took = m_time.now() - began;
-                  on_direct_answer(number, std::move(answer));
+                  if (!is_unavailable(answer) && answer.status != k_too_many_requests)
+                    m_latest_latency = m_time.now() - began;
+                  on_direct_reply(number, std::move(answer));
                 });
 }
 
-void store_path::on_direct_answer(std::uint64_t number, http::reply answer)
+void store_path::on_direct_reply(std::uint64_t number, http::reply answer)
 {
-  direct_call ended = std::move(m_under_way.extract(number).mapped());
-  const bool not_done = answer.status == 503 || answer.status == k_too_many;
-  const bool harmless =
-      ended.call.verb == http::method::get || not_done || (!answer.answered() && answer.refused);
-  const bool away = turned_away(answer) || (answer.status == k_too_many && m_bad_since);
+  direct_call ended = std::move(m_in_flight.extract(number).mapped());
+  const bool rejected = answer.status == 503 || answer.status == k_too_many_requests;
+  const bool safe_to_repeat =
+      ended.call.verb == http::method::get || rejected || (!answer.answered() && answer.refused);
+  const bool unavailable =
+      is_unavailable(answer) || (answer.status == k_too_many_requests && m_direct_failing_since);
   const common::duration left = ended.timeout - (m_time.now() - ended.began);
-  if (!ended.copied && away && harmless && left.count() > 0)
+  if (!ended.copied && unavailable && safe_to_repeat && left.count() > 0)
     relay(std::move(ended.call), left, std::move(ended.done));
   else
     ended.done(std::move(answer));
 }
 
-// The store has fallen silent for this instance, and a peer says that it has not for the peer.
+// Sends a copy of each overdue call through a peer when the store has stopped answering this
+// instance and a peer reports that the store still answers the peer.
 void store_path::copy_overdue_calls()
 {
-  if (m_bad_since || !in_doubt() || !m_peers.way_through())
+  if (m_direct_failing_since || !in_doubt() || !m_peers.way_through())
     return;
   const common::time_point now = m_time.now();
-  for (auto& [number, each] : m_under_way)
+  for (auto& [number, each] : m_in_flight)
   {
     const common::duration left = each.timeout - (now - each.began);
-    if (each.copied || now - each.began <= patience() || left <= k_relay_way)
+    if (each.copied || now - each.began <= doubt_timeout() || left <= k_relay_round_trip)
       continue;
     each.copied = true;
-    const auto both = std::make_shared<copied_call>(std::move(each.done));
-    each.done = [both](const http::reply& answer) { both->answered(answer); };
+    const auto combined = std::make_shared<copied_call>(std::move(each.done));
+    each.done = [combined](const http::reply& answer) { combined->answered(answer); };
     relay(each.call, left, each.done);
   }
 }
@@ -185,25 +195,25 @@
 void store_path::relay(http::request call, common::duration timeout, http::reply_handler done)
 {
   const auto peer = m_peers.way_through();
-  if (!peer || timeout <= k_relay_way)
+  if (!peer || timeout <= k_relay_round_trip)
   {
-    m_time.post([done = std::move(done)] { done(no_way()); });
+    m_time.post([done = std::move(done)] { done(no_path_reply()); });
     return;
   }
   common::relay_request request;
-  request.number = ++m_number;
+  request.number = ++m_last_call_number;
   request.verb = static_cast<std::uint8_t>(call.verb);
   request.target = std::move(call.target);
   request.body = std::move(call.body);
   request.timeout_ms = static_cast<std::uint32_t>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(timeout - k_relay_way).count());
-  m_relayed[request.number] = {std::move(done), *peer, m_time.now() + timeout};
+      std::chrono::duration_cast<std::chrono::milliseconds>(timeout - k_relay_round_trip).count());
+  m_relayed_calls[request.number] = {std::move(done), *peer, m_time.now() + timeout};
   m_send_to_peer(*peer, request);
 }
 
 void store_path::peer_unreachable(const std::string& peer)
 {
-  for (auto& [number, each] : m_relayed)
+  for (auto& [number, each] : m_relayed_calls)
   {
     if (each.peer == peer)
       each.overdue = common::time_point{};
@@ -222,9 +232,9 @@
     reply.refused = result.refused;
     m_send_to_peer(peer, reply);
   };
-  if (m_bad_since)
+  if (m_direct_failing_since)
   {
-    answer(no_way());
+    answer(no_path_reply());
     return;
   }
   http::request call;
@@ -237,9 +247,9 @@
 
 void store_path::on_reply(const std::string& peer, const common::relay_reply& reply)
 {
-  auto found = m_relayed.extract(reply.number);
+  auto found = m_relayed_calls.extract(reply.number);
   if (found.empty())
-    return; // given up before
+    return; // the call has already timed out here
   if (reply.status == 0 && reply.refused)
     m_peers.avoid(peer);
   found.mapped().done({reply.status, reply.body, reply.failure, reply.refused});
@@ -248,7 +258,7 @@
 void store_path::tick(common::time_point now)
 {
   std::vector<http::reply_handler> overdue;
-  for (auto each = m_relayed.begin(); each != m_relayed.end();)
+  for (auto each = m_relayed_calls.begin(); each != m_relayed_calls.end();)
   {
     if (each->second.overdue > now)
     {
@@ -257,12 +267,12 @@
     }
     m_peers.avoid(each->second.peer);
     overdue.push_back(std::move(each->second.done));
-    each = m_relayed.erase(each);
+    each = m_relayed_calls.erase(each);
   }
   for (const http::reply_handler& done : overdue)
     done({0, {}, "the peer that relays the call did not answer", false});
   copy_overdue_calls();
-  if (!m_bad_since || now - m_last_probe < k_probe_period)
+  if (!m_direct_failing_since || now - m_last_probe < k_probe_period)
     return;
   m_last_probe = now;
   send_directly(m_probe, k_probe_timeout, [](const http::reply&) {});
--- a/Source/Core/Node/StorePath.h
+++ b/Source/Core/Node/StorePath.h
@@ -3,10 +3,11 @@
 
 #pragma once
 
-// The way to the store: directly, or through a peer while the store turns this instance away.
+// Sends calls to the store: directly, or through a peer while the store rejects this instance or
+// does not answer it.
 //
 // While neither works, calls fail at once, so that callers are refused instead of kept waiting. The
-// direct way is in doubt as soon as a call takes longer than the store ever does when it is slow.
+// direct path is in doubt as soon as a call takes longer than the store ever does when it is slow.
 
 #include <cstdint>
 #include <functional>
@@ -29,26 +30,28 @@
   store_path(common::timekeeper& time, http::peer_sender& client, const common::endpoint& store,
              http::request probe, peer_monitor& peers, sender send_to_peer);
 
-  // Sent directly or through a peer. A second time, through a peer, if the direct call has
-  // certainly not been carried out, if it changes nothing, or if it has had no answer for a while
-  // and a peer's calls are answered: every write has a condition that its own copy does not meet
-  // any more, or may be done twice. Of a copied call, that it was not done is said only when that
-  // is sure of both copies.
+  // Sends the call directly or through a peer. Sends it a second time, through a peer, if the
+  // direct call has certainly not been carried out, if it changes nothing, or if it has had no
+  // reply for a while and a peer's calls are answered. A copy of a write is safe: either the write
+  // has a condition that fails once the other copy is carried out, or it may be carried out twice.
+  // A copied call is reported as not done only when that is certain for both copies.
   void send(http::request call, common::duration timeout, http::reply_handler done) override;
-  // Directly in any case; the outcome tells about the direct way.
+  // Sends the call directly in any case; its outcome updates the state of the direct path.
   void send_directly(http::request call, common::duration timeout, http::reply_handler done);
 
   void peer_unreachable(const std::string& peer);
   void on_request(const std::string& peer, const common::relay_request& request);
   void on_reply(const std::string& peer, const common::relay_reply& reply);
-  // Gives up relayed calls that are overdue; probes a direct way that is bad.
+  // Fails relayed calls that are overdue, copies overdue direct calls through a peer, and probes
+  // the direct path while it fails.
   void tick(common::time_point now);
 
-  // Since when direct calls fail; none while they do not.
-  std::optional<common::time_point> direct_failing_since() const { return m_bad_since; }
-  // When direct calls last began to be answered again; the beginning of time if they never failed.
-  common::time_point direct_restored_at() const { return m_back_since; }
-  // Whether direct calls fail or the latest ones are overdue.
+  // Since when direct calls have been failing; none while they succeed.
+  std::optional<common::time_point> direct_failing_since() const { return m_direct_failing_since; }
+  // When direct calls last began to succeed again; time_point{} if they never failed.
+  common::time_point direct_restored_at() const { return m_direct_restored_at; }
+  // Whether direct calls fail, or calls are in flight and nothing has been received from the store
+  // for longer than doubt_timeout().
   bool in_doubt() const;
   // Whether this instance reaches neither the store nor another zone.
   bool isolated() const { return in_doubt() && m_peers.cut_off(); }
@@ -63,19 +66,20 @@
     bool copied = false;
   };
 
-  struct relayed
+  struct relayed_call
   {
     http::reply_handler done;
     std::string peer;
     common::time_point overdue;
   };
 
-  // How long a call may be without an answer before the direct way is in doubt.
-  common::duration patience() const;
-  void note(const http::reply& answer, common::time_point began);
-  void note_too_many(common::time_point began);
-  void lost(unsigned status, const std::string& failure);
-  void on_direct_answer(std::uint64_t number, http::reply answer);
+  // How long the store may send nothing while calls are in flight before the direct path is in
+  // doubt.
+  common::duration doubt_timeout() const;
+  void record_reply(const http::reply& answer, common::time_point began);
+  void record_too_many_requests(common::time_point began);
+  void mark_failing(unsigned status, const std::string& failure);
+  void on_direct_reply(std::uint64_t number, http::reply answer);
   void copy_overdue_calls();
   void relay(http::request call, common::duration timeout, http::reply_handler done);
 
@@ -84,20 +88,22 @@
   common::endpoint m_store;
   http::request m_probe;
   sender m_send_to_peer;
-  std::optional<common::time_point> m_bad_since;
+  std::optional<common::time_point> m_direct_failing_since;
   common::time_point m_last_probe{};
-  unsigned m_too_many = 0; // answers 429 in a row, and since when
-  common::time_point m_too_many_since{};
-  common::time_point m_last_heard{};
-  common::time_point m_back_since{};
-  common::duration m_latest_took{}; // of the calls that are answered at once
+  unsigned m_too_many_requests =
+      0; // replies of status 429 in a row, since m_too_many_requests_since
+  common::time_point m_too_many_requests_since{};
+  common::time_point m_last_received{};
+  common::time_point m_direct_restored_at{};
+  common::duration m_latest_latency{}; // of the latest answered call, feeds left out
   peer_monitor& m_peers;
-  std::map<std::uint64_t, direct_call> m_under_way; // in the order in which they began
-  std::map<std::uint64_t, relayed> m_relayed;
-  std::uint64_t m_number = 0;
+  std::map<std::uint64_t, direct_call> m_in_flight; // by number, so the oldest call is first
+  std::map<std::uint64_t, relayed_call> m_relayed_calls;
+  std::uint64_t m_last_call_number = 0;
 };
 
-// The direct way alone, for feeds: their health is what tells how this instance stands.
+// Sends calls only directly. Used for feeds, whose health shows whether this instance itself
+// reaches the store.
 class direct_store_path : public http::request_sender
 {
 public:
--- a/Source/Core/Node/TableFeed.h
+++ b/Source/Core/Node/TableFeed.h
@@ -3,10 +3,11 @@
 
 #pragma once
 
-// Follows one table of the store: reads it whole, then waits for changes, for as long as it lives.
+// Follows one table of the store for as long as the feed exists: reads the whole table, then waits
+// for changes.
 //
-// After a gap in the history it reads the table whole again. No answer is given up while it is
-// still coming: a row may take a narrow link longer than any fixed time.
+// After a gap in the store's history it reads the whole table again. A call is not given up while
+// its reply is still arriving: over a narrow link, a row may take longer than any fixed timeout.
 
 #include <functional>
 #include <memory>
@@ -21,17 +22,19 @@
 {
 struct feed_handlers
 {
-  // All rows of the table; what is not among them is gone.
+  // All rows of the table; rows that are not included no longer exist.
   std::function<void(const std::vector<adapter::row>&)> snapshot;
   std::function<void(const std::vector<adapter::row>&)> changed;
-  // Where given, called instead of reading the table again when the history was lost; the feed
-  // has ended then.
+  // If set, called instead of reading the table again when the store no longer has the history
+  // since the last known version; the feed has ended then.
   std::function<void()> expired;
-  // Changes that come within this time of others are fetched together with them.
+  // After changes have arrived, the feed waits this long before its next call, so that further
+  // changes are fetched together.
   common::duration batch_window{0};
-  // Only the newest state counts. Changes that are longer than the table itself are not taken:
-  // it is read instead. A history grows with each version of a row that was missed, the table does
-  // not (five versions of a row of 0.9 s: 4.5 s, read 0.9 s).
+  // Only the newest state of each row matters. If the changes are larger than the table itself, the
+  // table is read instead: a history grows with each version of a row that was missed, the table
+  // does not (five versions of a row that takes 0.9 s each take 4.5 s, reading the table takes 0.9
+  // s).
   bool newest_only = false;
 };
 
@@ -44,24 +47,25 @@
   table_feed(const table_feed&) = delete;
   table_feed& operator=(const table_feed&) = delete;
 
-  // Also after a pause: everything is read anew.
+  // Reads the whole table, then follows it. Also restarts a paused feed.
   void start();
-  // Reads these parts from the next start on.
+  // Sets the parts of the table that are read from the next start on.
   void set_parts(std::vector<std::string> parts);
-  // Asks for nothing, and takes in no answer, until it is started again.
+  // Sends no calls and ignores replies until the feed is started again.
   void pause();
-  // From now on changes are gathered for so long.
-  void set_batch_window(common::duration time);
-  // Continues behind a version up to which the rows are known already.
+  // Sets feed_handlers::batch_window.
+  void set_batch_window(common::duration window);
+  // Follows the table from a version up to which the rows are known already.
   void start_after(adapter::row_version version);
-  // The store is back after a silence: whatever call waits for it is given up and made anew.
+  // To be called when the store answers again after a silence: gives up the call in flight and
+  // sends it again, unless its reply is arriving.
   void ask_again();
-  // Since when answers have come without a failure in between; none while they do not come.
+  // Since when replies have arrived without a failure in between; none while they fail.
   std::optional<common::time_point> healthy_since() const;
-  // Up to when all changes are known here, but for an answer that has just been lost.
+  // Up to when all changes are known here, except those in a reply that has just been lost.
   common::time_point known_until() const;
-  // Since when changes have been on their way here, or may have been missed; none while all that
-  // the store has told is known.
+  // Since when changes have been in transit to this instance, or may have been missed; none while
+  // all that the store has reported is known.
   std::optional<common::time_point> behind_since() const;
   bool loaded() const;
 
--- a/Source/UnitTests/Node/StorePathTest.cpp
+++ b/Source/UnitTests/Node/StorePathTest.cpp
@@ -13,7 +13,7 @@
 
 namespace
 {
-// Calls that wait for the test to answer them.
+// Holds calls until the test answers them.
 struct held_calls : http::peer_sender
 {
   struct held
@@ -42,10 +42,11 @@
   model::virtual_time time;
   held_calls direct;
   std::deque<common::relay_request> relayed;
-  unsigned questions = 0;
+  unsigned peer_queries = 0;
   node::peer_monitor peers{time,
                            {"self", "zone"},
-                           [this](const std::string&, const common::peer_message&) { ++questions; },
+                           [this](const std::string&, const common::peer_message&)
+                           { ++peer_queries; },
                            {[](const std::string&) {},
                             [this](const std::string& peer) { path.peer_unreachable(peer); }}};
   node::store_path path{time,
@@ -74,7 +75,7 @@
     path.send({verb, "/call", {}, {}}, milliseconds{900},
               [this](const http::reply& reply) { got = reply; });
   }
-  // A write that stays without an answer until a copy of it is sent through a peer.
+  // Sends a write that has no reply until a copy of it is sent through a peer.
   void call_until_copied()
   {
     peers.linked("peer", "other zone");
@@ -97,7 +98,7 @@
 
 BOOST_AUTO_TEST_SUITE(StorePathTest)
 
-BOOST_FIXTURE_TEST_CASE(a_good_way_is_direct, path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_healthy_store_is_called_directly, path_under_test)
 {
   peers.linked("peer", "other zone");
   call(http::method::post);
@@ -118,9 +119,9 @@
   BOOST_TEST(path.direct_failing_since().has_value());
 }
 
-// Thies, trouble-1, 16.5 s: the store fell silent for the owner alone; its commit waited 0.9 s for
-// an answer before a peer was asked.
-BOOST_FIXTURE_TEST_CASE(a_call_without_an_answer_goes_through_a_peer_that_has_a_way,
+// Guards against a commit that waits 0.9 s for a reply before a peer is asked (Thies, trouble-1,
+// 16.5 s): the store had stopped answering the owner alone.
+BOOST_FIXTURE_TEST_CASE(a_call_without_a_reply_is_copied_through_a_peer_that_reaches_the_store,
                         path_under_test)
 {
   peers.linked("peer", "other zone");
@@ -141,7 +142,7 @@
   BOOST_TEST(!got.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_peer_without_an_answer_leaves_the_direct_call_to_end, path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_failed_copy_leaves_the_direct_call_in_flight, path_under_test)
 {
   call_until_copied();
   path.on_reply("peer", {relayed.front().number, 0, {}, "no way to the store", true});
@@ -151,9 +152,10 @@
   BOOST_TEST(got->status == 200U);
 }
 
-// A slow store: the call's copy was turned away for the store's rate while the call itself was
-// done. The caller heard that its job was refused, and the job ran.
-BOOST_FIXTURE_TEST_CASE(that_a_copy_was_turned_away_does_not_tell_the_calls_fate, path_under_test)
+// Guards against a false refusal: the store was slow and rejected the copy of a call at its rate
+// limit while the call itself was carried out. The caller was told that its job was refused, and
+// the job ran.
+BOOST_FIXTURE_TEST_CASE(a_rejected_copy_does_not_end_the_call, path_under_test)
 {
   call_until_copied();
   answer_copy(429);
@@ -163,8 +165,7 @@
   BOOST_TEST(got->status == 200U);
 }
 
-BOOST_FIXTURE_TEST_CASE(that_a_copied_call_was_turned_away_waits_for_the_copys_answer,
-                        path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_rejected_call_waits_for_the_reply_to_its_copy, path_under_test)
 {
   call_until_copied();
   direct.answer({429, {}, {}, false});
@@ -172,10 +173,10 @@
   path.on_reply("peer", {relayed.front().number, 0, {}, "no answer in time", false});
   BOOST_TEST_REQUIRE(got.has_value());
   BOOST_TEST(!got->answered());
-  BOOST_TEST(!got->refused); // it may be done
+  BOOST_TEST(!got->refused); // the copy may have been carried out
 }
 
-BOOST_FIXTURE_TEST_CASE(a_call_of_which_both_copies_were_turned_away_was_not_done, path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_call_with_both_copies_rejected_was_not_done, path_under_test)
 {
   call_until_copied();
   direct.answer({429, {}, {}, false});
@@ -200,7 +201,7 @@
   BOOST_TEST(!path.in_doubt());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_write_that_was_turned_away_goes_through_a_peer, path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_rejected_write_is_relayed_through_a_peer, path_under_test)
 {
   peers.linked("peer", "other zone");
   call(http::method::post);
@@ -212,7 +213,7 @@
   BOOST_TEST(got->status == 200U);
 }
 
-BOOST_FIXTURE_TEST_CASE(without_any_way_calls_fail_at_once, path_under_test)
+BOOST_FIXTURE_TEST_CASE(without_a_path_to_the_store_calls_fail_at_once, path_under_test)
 {
   call(http::method::get);
   direct.answer(k_reset);
@@ -225,7 +226,7 @@
   BOOST_TEST(got->refused);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_probe_finds_the_direct_way_again, path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_probe_restores_the_direct_path, path_under_test)
 {
   call(http::method::post);
   direct.answer(k_reset);
@@ -237,7 +238,7 @@
   BOOST_TEST(!path.direct_failing_since().has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_peer_that_has_no_way_either_says_so, path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_peer_without_a_path_refuses_to_relay, path_under_test)
 {
   call(http::method::post);
   direct.answer(k_reset);
@@ -254,7 +255,7 @@
   BOOST_TEST(answer->refused);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_relayed_call_ends_within_its_own_time, path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_relayed_call_ends_within_its_timeout, path_under_test)
 {
   peers.linked("peer", "other zone");
   call(http::method::post);
@@ -266,7 +267,8 @@
   BOOST_TEST(!got->answered());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_lost_answer_is_no_lost_way_if_a_later_call_was_answered, path_under_test)
+BOOST_FIXTURE_TEST_CASE(a_lost_reply_does_not_fail_the_path_if_a_later_call_was_answered,
+                        path_under_test)
 {
   peers.linked("peer", "other zone");
   call(http::method::post);
@@ -287,7 +289,7 @@
   pass(milliseconds{350});
   BOOST_TEST(path.in_doubt());
   BOOST_TEST(!path.isolated());
-  BOOST_TEST(questions > 0U);
+  BOOST_TEST(peer_queries > 0U);
   for (int i = 0; i < 20; ++i)
   {
     pass(milliseconds{25});
@@ -295,7 +297,7 @@
     peers.on_report("near", {false});
   }
   BOOST_TEST(path.isolated());
-  // Nothing is sent any more, so callers can be refused truthfully.
+  // No call is sent any more, so it is true to tell callers that nothing was done.
   const auto sent = direct.calls.size();
   call(http::method::post);
   pass(milliseconds{25});
@@ -330,17 +332,18 @@
     peers.heard("far");
     peers.on_report("far", {true});
   }
-  BOOST_TEST(relayed.size() == 1U); // a copy of the call that waits
+  BOOST_TEST(relayed.size() == 1U); // a copy of the call in flight
   call(http::method::post);
   BOOST_TEST(relayed.size() == 2U);
   BOOST_TEST(direct.calls.size() == 1U);
 }
 
-// The store may turn a machine away by 429 as well, for seconds. An owner sent its commit again and
-// again meanwhile, until it was replaced after 3 s of silence.
+// Guards against an owner that is replaced while the store rejects only its machine with status
+// 429, which may last for seconds: the owner repeated its commit directly until it was replaced
+// after 3 s without a renewal.
 struct rate_limited_path : path_under_test
 {
-  // Calls every 100 ms, each answered at once.
+  // Sends a call every 100 ms; each is answered at once.
   void answer_all(unsigned status, milliseconds span)
   {
     for (milliseconds passed{0}; passed < span; passed += milliseconds{100})
@@ -353,8 +356,7 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(an_instance_that_gets_nothing_but_429_goes_through_a_peer,
-                        rate_limited_path)
+BOOST_FIXTURE_TEST_CASE(an_instance_that_gets_only_429_replies_uses_a_peer, rate_limited_path)
 {
   peers.linked("peer", "other zone");
   answer_all(200, milliseconds{300});
@@ -364,7 +366,7 @@
   answer_all(429, milliseconds{400});
   BOOST_TEST(path.direct_failing_since().has_value());
   BOOST_TEST(!relayed.empty());
-  // Probes that meet the same do not make the way good again.
+  // Probes that are answered with 429 as well do not restore the direct path.
   relayed.clear();
   answer_all(429, milliseconds{1500});
   BOOST_TEST(path.direct_failing_since().has_value());
@@ -372,8 +374,8 @@
   BOOST_TEST(!path.direct_failing_since().has_value());
 }
 
-// A store at its rate turns some calls away; through a peer there would be no fewer.
-BOOST_FIXTURE_TEST_CASE(a_429_beside_answers_is_no_bad_way, rate_limited_path)
+// A store at its rate limit rejects some calls; relaying them through a peer would not reduce that.
+BOOST_FIXTURE_TEST_CASE(occasional_429_replies_do_not_fail_the_direct_path, rate_limited_path)
 {
   peers.linked("peer", "other zone");
   for (int i = 0; i < 10; ++i)
