--- a/Source/Core/Node/CellLayout.cpp
+++ b/Source/Core/Node/CellLayout.cpp
@@ -42,10 +42,10 @@
 
 std::array<std::string, 2> cell_layout::partitions_of_job(const std::string& job) const
 {
-  const std::uint64_t drawn = common::stable_hash(job, k_job_seed);
-  const std::size_t first = drawn % m_names.size();
+  const std::uint64_t hash = common::stable_hash(job, k_job_seed);
+  const std::size_t first = hash % m_names.size();
   const std::size_t others = m_names.size() - 1;
-  const std::size_t step = others == 0 ? 0 : 1 + drawn / m_names.size() % others;
+  const std::size_t step = others == 0 ? 0 : 1 + hash / m_names.size() % others;
   return {m_names[first], m_names[(first + step) % m_names.size()]};
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/CellLayout.h
+++ b/Source/Core/Node/CellLayout.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-// How a cell's workers and jobs are divided among partitions, each of which has an owner.
+// Divides a cell's workers and jobs among partitions, each of which has an owner.
 //
-// Everything follows from ids and from the number of partitions, so that all instances agree
+// Everything follows from ids, addresses and the number of partitions, so that all instances agree
 // without asking each other.
 
 #include <array>
@@ -25,12 +25,14 @@
 
   std::size_t size() const { return m_names.size(); }
   const std::vector<std::string>& names() const { return m_names; }
-  // The partition of the worker at that address. It stays with the machine over its workers' lives,
-  // and a worker obeys calls at no other address, so no two owners order one about.
+  // The partition of the worker at that address. It stays the same over all incarnations of the
+  // worker on that machine, and a worker accepts calls at no other address, so no two owners send
+  // requests to one worker.
   const std::string& partition_of_worker(const common::endpoint& address) const;
-  // The partition's part of the tasks of jobs that all partitions run.
+  // The partition's share of the tasks of a job that all partitions run.
   jobs::task_share share_of(const std::string& partition) const;
-  // Where a job usually runs, and where else if that partition is busy or has no owner.
+  // The partition where the job usually runs, and another one for when that partition is busy or
+  // has no owner.
   std::array<std::string, 2> partitions_of_job(const std::string& job) const;
 
 private:
--- a/Source/Core/Node/JobStore.cpp
+++ b/Source/Core/Node/JobStore.cpp
@@ -17,28 +17,29 @@
 namespace
 {
 constexpr std::size_t k_job_parts = 32;
-// Behind a job's own row in the order of keys.
+// Appended to a job's id, so that the row sorts after the job's own row.
 constexpr const char* k_cancel_suffix = "~cancel";
 constexpr const char* k_refused_text = "refused";
-// The store answers in 4 ms; under its slowest measured trouble (sixty times) in 240.
+// The store answers in 4 ms, and in 240 ms at the slowest that was measured (sixty times slower).
 constexpr std::chrono::milliseconds k_write_timeout{900};
-// Writes that met another row are tried again this often.
-constexpr unsigned k_most_retries = 3;
-// What the store turned away is tried again after a pause that doubles from this to the longest.
-constexpr std::chrono::milliseconds k_retry_pause{60};
-constexpr std::chrono::milliseconds k_longest_pause{480};
+// How many times a write that conflicted with another row is repeated.
+constexpr unsigned k_max_conflict_retries = 3;
+// A write that the store rejected as unavailable is repeated after a delay that doubles from the
+// first to the second value.
+constexpr std::chrono::milliseconds k_first_retry_delay{60};
+constexpr std::chrono::milliseconds k_max_retry_delay{480};
 
-// One submission on its way into the store.
+// Stores one submission, or a refusal in its place, and determines the outcome.
 class acceptance : public std::enable_shared_from_this<acceptance>
 {
 public:
-  // `known`: a version of the store from when the submission came.
-  acceptance(common::timekeeper& time, adapter::store_client& store, adapter::row_version known,
-             const jobs::accepted_job& job, common::time_point deadline,
-             std::function<void(accept_result)> done)
+  // `known_version`: a store version from when the submission arrived.
+  acceptance(common::timekeeper& time, adapter::store_client& store,
+             adapter::row_version known_version, const jobs::accepted_job& job,
+             common::time_point deadline, std::function<void(accept_result)> done)
       : m_time(time),
         m_store(store),
-        m_known(known),
+        m_known_version(known_version),
         m_key(job_key(job.id)),
         m_text(jobs::to_row_text(job)),
         m_deadline(deadline),
@@ -52,12 +53,12 @@
         { self->on_written(result); });
   }
 
-  // Nothing is written but the mark of a refusal.
+  // Writes only a refusal mark.
   void refuse(const std::string& why)
   {
     m_detail = why;
-    m_first = false;
-    settle();
+    m_may_be_own_row = false;
+    confirm_refusal();
   }
 
 private:
@@ -82,31 +83,32 @@
       on_conflict(result);
       return;
     case adapter::store_end::unavailable:
-      write_later(result.detail);
+      retry_write(result.detail);
       return;
     default:
       m_detail = "the store did not answer: " + result.detail;
-      settle();
+      confirm_refusal();
     }
   }
 
-  // Until the deadline: the store may be back any moment. No refusal is true then, since this try
-  // is known not to be kept, and nothing of earlier ones: they may wait in the store for their
-  // turn.
-  void write_later(const std::string& detail)
+  // Repeats the write until the deadline: the store may become available at any moment. After that
+  // the outcome is unknown and not a refusal, since only this call is known not to have stored the
+  // job; writes of earlier calls may still be queued at the store.
+  void retry_write(const std::string& detail)
   {
-    const common::duration pause = m_pause;
-    if (m_time.now() + pause >= m_deadline)
+    const common::duration delay = m_retry_delay;
+    if (m_time.now() + delay >= m_deadline)
     {
       m_done({accept_outcome::unknown, "the store is not available: " + detail, false, 0});
       return;
     }
-    m_pause = std::min(2 * m_pause, k_longest_pause);
-    later(pause, [this] { write(); });
+    m_retry_delay = std::min(2 * m_retry_delay, k_max_retry_delay);
+    run_after(delay, [this] { write(); });
   }
 
-  // Another row is there: the same job, or the mark of a refusal. It may be replaced if it was
-  // there before the submission came; else a later call of the caller may have been refused by it.
+  // Another row is present: the same job, or a refusal mark. A mark that was present before the
+  // submission arrived may be replaced; a newer one may be the refusal of a later call of the same
+  // caller.
   void on_conflict(const adapter::transaction_result& result)
   {
     const auto present = std::find_if(result.conflicting.begin(), result.conflicting.end(),
@@ -114,7 +116,7 @@
     if (present == result.conflicting.end())
     {
       m_expected = 0;
-      retry_or_settle();
+      retry_after_conflict();
       return;
     }
     if (present->value != k_refused_text)
@@ -122,38 +124,38 @@
       m_done({accept_outcome::accepted, "the id was there already", false, present->version});
       return;
     }
-    if (present->version > m_known)
+    if (present->version > m_known_version)
     {
       m_done({accept_outcome::unknown, "another call for it was refused meanwhile", false, 0});
       return;
     }
     m_expected = present->version;
-    retry_or_settle();
+    retry_after_conflict();
   }
 
-  void retry_or_settle()
+  void retry_after_conflict()
   {
-    if (++m_tries <= k_most_retries)
+    if (++m_conflicts <= k_max_conflict_retries)
       write();
     else
       m_done({accept_outcome::unknown, "the row keeps changing", false, 0});
   }
 
-  // The write may have happened or may happen later, and so may those of other calls for the same
-  // id. A refusal is true only once this call has written its mark there: no earlier write's
-  // condition holds then.
-  void settle()
+  // The write may have been carried out or may be later, and so may those of other calls for the
+  // same id. A refusal is true only once this call has written its mark to the row: the condition
+  // of every earlier write fails from then on.
+  void confirm_refusal()
   {
-    if (m_time.now() + k_retry_pause >= m_deadline)
+    if (m_time.now() + k_first_retry_delay >= m_deadline)
     {
       m_done({accept_outcome::unknown, m_detail, false, 0});
       return;
     }
     put(k_refused_text, [self = shared_from_this()](const adapter::transaction_result& result)
-        { self->on_settled(result); });
+        { self->on_refusal_written(result); });
   }
 
-  void on_settled(const adapter::transaction_result& result)
+  void on_refusal_written(const adapter::transaction_result& result)
   {
     if (result.end == adapter::store_end::done)
     {
@@ -162,41 +164,41 @@
     }
     if (result.end != adapter::store_end::conflict)
     {
-      later(k_retry_pause, [this] { settle(); });
+      run_after(k_first_retry_delay, [this] { confirm_refusal(); });
       return;
     }
-    const auto kept = std::find_if(result.conflicting.begin(), result.conflicting.end(),
-                                   [](const adapter::row& row)
-                                   { return !row.value.empty() && row.value != k_refused_text; });
-    // It may be an earlier submission's row, even of a job that has ended since.
-    if (kept != result.conflicting.end())
+    const auto stored = std::find_if(result.conflicting.begin(), result.conflicting.end(),
+                                     [](const adapter::row& row)
+                                     { return !row.value.empty() && row.value != k_refused_text; });
+    // The row may be an earlier submission's, even of a job that has ended since.
+    if (stored != result.conflicting.end())
     {
       m_done({accept_outcome::accepted, "settled by reading it back",
-              m_first && kept->value == m_text, kept->version});
+              m_may_be_own_row && stored->value == m_text, stored->version});
       return;
     }
     m_expected = result.conflicting.empty() ? 0 : result.conflicting.front().version;
-    settle();
+    confirm_refusal();
   }
 
-  void later(common::duration pause, std::function<void()> again)
+  void run_after(common::duration delay, std::function<void()> action)
   {
-    m_time.schedule(pause, [self = shared_from_this(), again = std::move(again)] { again(); });
+    m_time.schedule(delay, [self = shared_from_this(), action = std::move(action)] { action(); });
   }
 
   common::timekeeper& m_time;
   adapter::store_client& m_store;
-  adapter::row_version m_known;
+  adapter::row_version m_known_version;
   adapter::row_key m_key;
   std::string m_text;
   common::time_point m_deadline;
   std::function<void(accept_result)> m_done;
   adapter::row_version m_expected = 0;
-  unsigned m_tries = 0;
-  std::chrono::milliseconds m_pause = k_retry_pause;
-  std::string m_detail; // why the job is refused, if it is
-  // Whether a job that is found there may be this call's.
-  bool m_first = true;
+  unsigned m_conflicts = 0;
+  std::chrono::milliseconds m_retry_delay = k_first_retry_delay;
+  std::string m_detail; // reason for the refusal, if the job is refused
+  // Whether a job found in the row may have been stored by this call.
+  bool m_may_be_own_row = true;
 };
 } // namespace
 
@@ -262,10 +264,11 @@
   return std::max(m_store.newest_seen(), m_feed_store.newest_seen());
 }
 
-void job_store::accept(const jobs::accepted_job& job, adapter::row_version known,
+void job_store::accept(const jobs::accepted_job& job, adapter::row_version known_version,
                        common::time_point deadline, std::function<void(accept_result)> done)
 {
-  std::make_shared<acceptance>(m_time, m_store, known, job, deadline, std::move(done))->write();
+  std::make_shared<acceptance>(m_time, m_store, known_version, job, deadline, std::move(done))
+      ->write();
 }
 
 void job_store::refuse(const std::string& id, const std::string& why, common::time_point deadline,
--- a/Source/Core/Node/JobStore.h
+++ b/Source/Core/Node/JobStore.h
@@ -3,10 +3,11 @@
 
 #pragma once
 
-// Jobs as the store keeps them: accepting one exactly once, finding it again, cancelling it.
+// Jobs in the store: accepts a job exactly once, finds it again, cancels it.
 //
-// A job's row lies in a part that follows from its id alone, so that a second submission of the
-// same id meets the first one wherever it comes in. The row names the partition that runs the job.
+// The part of the table that holds a job's row follows from the job's id alone, so that a second
+// submission of the same id conflicts with the first one, whichever instance receives it. The row
+// names the partition that runs the job.
 
 #include <functional>
 #include <memory>
@@ -25,20 +26,20 @@
 {
 inline constexpr const char* k_jobs_table = "jobs";
 
-// The parts of the jobs' table. A part takes its transactions in turn, 300 a second, and six when
-// the store is fifty times slower; then it turns away what would wait over a second. With 32 parts
-// some twenty submissions a second hardly meet each other there: days with a slow store twice are
-// worth 0.82 instead of 0.69 with eight parts.
+// The parts of the jobs' table. A part carries out its transactions one after the other, 300 per
+// second, or six when the store is fifty times slower; then it rejects those that would wait for
+// more than a second. With 32 parts, some twenty submissions per second hardly ever wait for each
+// other: days on which the store is slow twice scored 0.82, compared with 0.69 with eight parts.
 std::vector<std::string> job_parts();
 std::string job_part(const std::string& id);
 // Whether the partition's owner runs the job, or some of its tasks.
 bool runs_in(const jobs::accepted_job& job, const std::string& partition);
-// A job's own row, and the mark that it is cancelled.
+// The keys of a job's own row and of its cancellation mark.
 adapter::row_key job_key(const std::string& id);
 adapter::row_key cancel_key(const std::string& id);
 
-// What a row of the jobs' table says.
-struct refused_mark // written in place of a job whose acceptance stayed unclear
+// The content of a row of the jobs' table.
+struct refused_mark // written in place of a job whose acceptance remained uncertain
 {
 };
 struct cancel_mark
@@ -49,67 +50,69 @@
   std::string id;
   std::variant<jobs::accepted_job, refused_mark, cancel_mark> content;
 };
-// None, with a line in the log, for a damaged row.
+// Returns none and logs an event if the row is damaged.
 std::optional<job_row> job_row_from(const adapter::row& row);
 
 // What an instance knew of a job's row when it answered that there is no such job.
 enum class row_evidence
 {
-  none,   // the row was not looked at, or could not be
-  absent, // the store said that there is none
+  none,   // the row was not read, or could not be
+  absent, // the store replied that there is no such row
   marked  // the mark of a refusal was written in its place
 };
 std::string_view to_text(row_evidence evidence);
 
 enum class accept_outcome
 {
-  accepted, // kept, now or by an earlier submission of the same id
-  refused,  // certainly not kept, nor will it be by any call that came before
-  unknown   // may be kept; the caller has to ask again
+  accepted, // stored, now or by an earlier submission of the same id
+  refused,  // certainly not stored, and no earlier call will store it
+  unknown   // may be stored; the caller has to ask again
 };
 
 struct accept_result
 {
   accept_outcome end = accept_outcome::unknown;
   std::string detail;
-  bool first = false; // kept by this very call
+  bool first = false; // stored by this very call
   adapter::row_version version = 0;
   row_evidence evidence = row_evidence::none; // for a refusal
 };
 
 struct found_job
 {
-  bool answered = false; // by the store, with sound rows if any
+  bool answered = false; // the store answered, and no row is damaged
   std::optional<jobs::accepted_job> job;
   bool cancelled = false;
 };
 
-// What the partition's owner has written of a job.
+// The state of a job that the partition's owner has committed.
 struct written_state
 {
-  bool answered = false;                // by the store, with a sound row if any
-  std::optional<jobs::job_state> state; // none: nothing is written
+  bool answered = false;                // the store answered, and the row is not damaged
+  std::optional<jobs::job_state> state; // none: nothing is committed
 };
 
 class job_store
 {
 public:
-  // `feed_store`: its answers tell as well how new the store's rows are.
+  // `feed_store`: its replies also show how new the store's rows are.
   job_store(common::timekeeper& time, adapter::store_client& store,
             const adapter::store_client& feed_store);
 
-  // A version of the store that is not newer than this moment.
+  // The newest store version known here; it is not newer than the present moment.
   adapter::row_version newest_known_version() const;
-  // Keeps the job; an answer comes by `deadline`. `known`: a version from when the submission came.
-  void accept(const jobs::accepted_job& job, adapter::row_version known,
+  // Stores the job; `done` is called by `deadline`. `known_version`: a store version from when the
+  // submission arrived.
+  void accept(const jobs::accepted_job& job, adapter::row_version known_version,
               common::time_point deadline, std::function<void(accept_result)> done);
-  // Has it written that the job is refused, for the reason given, unless it is kept already.
+  // Writes a refusal mark for the job, unless the job is already stored. `why` is the reason given
+  // in the result.
   void refuse(const std::string& id, const std::string& why, common::time_point deadline,
               std::function<void(accept_result)> done);
   void find(const std::string& id, common::duration timeout, std::function<void(found_job)> done);
-  // `done` is told whether the mark is kept.
+  // `done` receives whether the cancellation mark is stored.
   void cancel(const std::string& id, common::duration timeout, std::function<void(bool)> done);
-  // The state that the partition's owner has written last.
+  // The state that the partition's owner has committed last.
   void state(const std::string& partition, const std::string& id, common::duration timeout,
              std::function<void(written_state)> done);
 
--- a/Source/Core/Node/LayoutManager.cpp
+++ b/Source/Core/Node/LayoutManager.cpp
@@ -12,19 +12,20 @@
 {
 namespace
 {
-// Instances that start together have found each other by then.
-constexpr std::chrono::milliseconds k_settle{1000};
-// Workers announce themselves within some seconds of the cell's start. Their number is believed
-// once it has not grown for a heartbeat, and in any case after the longer time: callers wait.
-constexpr std::chrono::milliseconds k_steady{1500};
-constexpr std::chrono::milliseconds k_longest_count{7000};
+// Instances that start together have found each other within this time.
+constexpr std::chrono::milliseconds k_instance_discovery_time{1000};
+// Workers register within some seconds of the cell's start. Their number is considered final once
+// it has not grown for a heartbeat (k_stable_worker_count_time), and in any case after
+// k_max_worker_count_time, because callers are waiting.
+constexpr std::chrono::milliseconds k_stable_worker_count_time{1500};
+constexpr std::chrono::milliseconds k_max_worker_count_time{7000};
 constexpr std::chrono::milliseconds k_write_timeout{900};
 constexpr std::chrono::milliseconds k_retry_pause{200};
-// An owner takes a quarter of a core for so many workers under load.
-constexpr std::size_t k_workers_a_partition = 275;
-// Each partition's owner has instances to follow it, and to ask for advice through.
-constexpr std::size_t k_instances_a_partition = 36;
-constexpr std::size_t k_most_partitions = 16;
+// An owner uses a quarter of a core for this many workers under load.
+constexpr std::size_t k_workers_per_partition = 275;
+// Each partition's owner needs instances that follow it and through which it asks for advice.
+constexpr std::size_t k_instances_per_partition = 36;
+constexpr std::size_t k_max_partitions = 16;
 } // namespace
 
 layout_manager::layout_manager(common::timekeeper& time, adapter::store_client& store,
@@ -41,13 +42,13 @@
     return;
   if (row.at == layout_key())
   {
-    const auto told = layout_row_from(row.value);
-    if (told)
-      set(told->partitions, "the store tells it");
+    const auto parsed = layout_row_from(row.value);
+    if (parsed)
+      set(parsed->partitions, "read from the store");
     else
       common::log_process("row_damaged", {{"table", k_owners_table},
                                           {"key", row.at.key},
-                                          {"error", common::to_text(told.error())}});
+                                          {"error", common::to_text(parsed.error())}});
     return;
   }
   if (row.at.part == k_whole_cell && row.at.key == k_owner_key)
@@ -60,37 +61,37 @@
   common::log_process("layout_known", {{"partitions", partitions}, {"why", why}});
 }
 
-std::optional<std::size_t> layout_manager::decision(const cell_size& size, common::time_point now)
+std::optional<std::size_t> layout_manager::decide(const cell_size& size, common::time_point now)
 {
   if (m_fixed > 0)
     return m_fixed;
-  // Instances are found one after the other by one that starts slowly.
-  if (!m_began || size.instances > m_instances)
-    m_began = now;
+  // An instance that starts slowly finds the other instances one after the other.
+  if (!m_instances_stable_since || size.instances > m_instances)
+    m_instances_stable_since = now;
   m_instances = size.instances;
-  if (now - *m_began < k_settle)
+  if (now - *m_instances_stable_since < k_instance_discovery_time)
     return std::nullopt;
-  const std::size_t by_instances = size.instances / k_instances_a_partition;
+  const std::size_t by_instances = size.instances / k_instances_per_partition;
   if (by_instances <= 1)
     return 1;
   if (!m_counting_since)
-    m_counting_since = m_grew_at = now;
+    m_counting_since = m_workers_grew_at = now;
   if (size.workers > m_workers)
-    m_grew_at = now;
+    m_workers_grew_at = now;
   m_workers = std::max(m_workers, size.workers);
-  const bool settled = m_workers > 0 && now - m_grew_at >= k_steady;
-  if (!settled && now - *m_counting_since < k_longest_count)
+  const bool settled = m_workers > 0 && now - m_workers_grew_at >= k_stable_worker_count_time;
+  if (!settled && now - *m_counting_since < k_max_worker_count_time)
     return std::nullopt;
-  return std::clamp<std::size_t>(std::min(m_workers / k_workers_a_partition, by_instances), 1,
-                                 k_most_partitions);
+  return std::clamp<std::size_t>(std::min(m_workers / k_workers_per_partition, by_instances), 1,
+                                 k_max_partitions);
 }
 
 void layout_manager::tick(const cell_size& size)
 {
   const common::time_point now = m_time.now();
-  if (m_layout || !m_rows_read || m_writing || now < m_try_after)
+  if (m_layout || !m_rows_read || m_writing || now < m_next_attempt)
     return;
-  if (const auto partitions = decision(size, now))
+  if (const auto partitions = decide(size, now))
   {
     common::log_process(
         "layout_decided",
@@ -114,8 +115,8 @@
                    });
 }
 
-// Without a sure answer the row may come yet, with this number or with another instance's: the next
-// try meets it, or the feed brings it.
+// Without a definite reply the row may still be written, with this number or with another
+// instance's: the next attempt conflicts with it, or the feed delivers it.
 void layout_manager::on_written(const adapter::transaction_result& result, std::size_t partitions)
 {
   m_writing = false;
@@ -128,6 +129,6 @@
   }
   for (const adapter::row& each : result.conflicting)
     take_in(each);
-  m_try_after = m_time.now() + k_retry_pause;
+  m_next_attempt = m_time.now() + k_retry_pause;
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/LayoutManager.h
+++ b/Source/Core/Node/LayoutManager.h
@@ -3,11 +3,11 @@
 
 #pragma once
 
-// Learns into how many partitions the cell is divided, and decides it in a new cell.
+// Reads into how many partitions the cell is divided, and decides it in a new cell.
 //
-// The number stands in one row, which is written once, under the condition that there is none. An
-// owner of the whole cell without that row is one of an earlier version: the cell has one partition
-// then.
+// The number is stored in one row, which is written once, on the condition that it does not exist.
+// If the whole cell has an owner and that row does not exist, the owner runs an earlier software
+// version: the cell then has one partition.
 
 #include <cstdint>
 #include <functional>
@@ -22,24 +22,24 @@
 // What an instance knows of its cell's size.
 struct cell_size
 {
-  std::size_t instances = 0; // that can be reached, this one included
+  std::size_t instances = 0; // reachable ones, this one included
   std::size_t workers = 0;   // with an entry; counted while needs_worker_count()
 };
 
 class layout_manager
 {
 public:
-  // `fixed`: the number of partitions of a new cell; 0: it follows from the cell's size.
+  // `fixed`: the number of partitions of a new cell; 0: derived from the cell's size.
   layout_manager(common::timekeeper& time, adapter::store_client& store, std::size_t fixed);
   ~layout_manager();
   layout_manager(const layout_manager&) = delete;
   layout_manager& operator=(const layout_manager&) = delete;
 
-  // A row of the owners' table.
+  // Processes a row of the owners' table.
   void take_in(const adapter::row& row);
-  // All rows that may tell the layout have been read.
+  // To be called when all rows that may contain the layout have been read.
   void rows_read() { m_rows_read = true; }
-  // None as long as it is not known.
+  // None until the layout is known.
   const std::optional<cell_layout>& layout() const { return m_layout; }
 
   // Whether the workers have to be counted before the layout can be decided.
@@ -49,7 +49,7 @@
 
 private:
   void set(std::size_t partitions, const char* why);
-  std::optional<std::size_t> decision(const cell_size& size, common::time_point now);
+  std::optional<std::size_t> decide(const cell_size& size, common::time_point now);
   void write(std::size_t partitions);
   void on_written(const adapter::transaction_result& result, std::size_t partitions);
 
@@ -59,12 +59,12 @@
   std::optional<cell_layout> m_layout;
   bool m_rows_read = false;
   bool m_writing = false;
-  std::optional<common::time_point> m_began; // since when no further instance has been found
+  std::optional<common::time_point> m_instances_stable_since;
   std::size_t m_instances = 0;
-  std::optional<common::time_point> m_counting_since; // workers
+  std::optional<common::time_point> m_counting_since; // since when workers are counted
   std::size_t m_workers = 0;
-  common::time_point m_grew_at{};
-  common::time_point m_try_after{};
+  common::time_point m_workers_grew_at{};
+  common::time_point m_next_attempt{};
   std::shared_ptr<int> m_alive;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/OwnerRow.h
+++ b/Source/Core/Node/OwnerRow.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// The rows by which a partition has one owner: who it is, and the number of its last commit.
+// The store rows that give each partition a single owner: who the owner is and the number of its
+// last commit; also the cell's layout and the owner's claims on workers.
 
 #include <cstdint>
 #include <map>
@@ -21,42 +22,46 @@
 
 namespace yardhill::node
 {
-// Tables of our own. A partition's rows share the part that has its name.
+// Tables that only yardhill's instances use. The rows of a partition are in the part that has the
+// partition's name.
 inline constexpr const char* k_owners_table = "owners";
 inline constexpr const char* k_owner_key = "owner";
-// The partition of a cell that has only one.
+// Name of the partition of a cell that has only one.
 inline constexpr const char* k_whole_cell = "cell";
-// Into how many partitions the cell is divided; beside the owner of the whole cell, so that one
-// reading tells both.
+// Key of the row that says into how many partitions the cell is divided. It is in the same part as
+// the owner of the whole cell, so that one read returns both.
 inline constexpr const char* k_layout_key = "layout";
 inline constexpr const char* k_commits_table = "commits";
 inline constexpr const char* k_commit_key = "last";
 inline constexpr const char* k_progress_table = "progress";
-// One row a worker on which runs may have been started.
+// One row per worker on which runs may have been started.
 inline constexpr const char* k_claims_table = "claims";
 
 struct owner_row
 {
-  std::string holder;      // an instance's name; empty: given back
-  std::string life;        // of the holder's process
-  std::uint64_t epoch = 0; // counts the owners
+  std::string holder;      // an instance's name; empty: the partition was released
+  std::string life;        // incarnation of the holder's process
+  std::uint64_t epoch = 0; // number of the ownership, counted over all owners of the partition
   std::uint64_t renewal = 0;
-  // What others may know of the partition: accepted jobs that have not begun, by queue, and the
-  // processor time that waits and that is free, in thousandths of a core.
+  // What other instances may know of the partition: the accepted jobs that have not begun, by
+  // queue, and below the processor share that is waited for and that is free, in thousandths of a
+  // core.
   std::map<std::string, std::uint64_t> pending;
-  // Up to when the jobs counted there were known; none: of unknown age. Whoever hands the counts on
-  // hands this on with them.
+  // Up to when the jobs counted in `pending` were known; none: of unknown age. An owner that passes
+  // on the counts of a previous owner passes this time on with them.
   std::optional<adapter::store_time> counted_at;
   std::int64_t waiting_cpu = 0;
   std::int64_t free_cpu = 0;
-  // The largest workers that the owner has seen, by service: other instances follow no workers.
+  // The largest workers that the owner has seen, by service: instances that own no partition do not
+  // follow the workers.
   std::map<std::string, std::vector<common::resources>> largest;
-  // What the partition's own workers have, so that no job is given to one where it cannot run.
+  // The labels of the partition's own workers, so that no job is assigned to a partition where it
+  // cannot run.
   std::set<std::string> labels;
   // How long a new job would wait for its first start, by priority; empty unless the owner is
   // overloaded.
   std::map<std::uint32_t, std::chrono::milliseconds> start_waits = {};
-  // When the orders of the owners before are over; none: not known.
+  // When the requests of all previous owners to workers have ended; none: unknown.
   std::optional<adapter::store_time> previous_requests_end = std::nullopt;
 };
 
@@ -77,7 +82,8 @@
 std::string to_row_text(const layout_row& row);
 common::result<layout_row> layout_row_from(const std::string& text);
 std::string to_row_text(const commit_row& row);
-// The row says on the store's clock when all is over; it says nothing while that is not known.
+// The row gives the claim's end on the store's clock; the end is left out while that clock is not
+// known.
 std::string to_row_text(const scheduling::worker_claim& claim, const store_clock& clock);
 common::result<scheduling::worker_claim> worker_claim_from(const std::string& text,
                                                            const store_clock& clock);
@@ -85,11 +91,11 @@
 common::result<common::endpoint> address_from(const std::string& text);
 common::result<commit_row> commit_row_from(const std::string& text);
 
-// An owner row as it was last seen.
+// An owner row as it was last observed.
 struct observed_owner
 {
   owner_row row;
-  adapter::row_version version = 0; // 0: there is none
-  common::time_point changed_at{};  // on our clock
+  adapter::row_version version = 0; // 0: there is no row
+  common::time_point changed_at{};  // on this process's clock
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/PartitionLoader.cpp
+++ b/Source/Core/Node/PartitionLoader.cpp
@@ -17,14 +17,14 @@
 namespace
 {
 constexpr std::chrono::milliseconds k_read_timeout{1500};
-// Retries begin quickly, since most failures are one call's, and slow down: 32 readings that are
-// repeated without a pause over a full link keep it full.
-constexpr std::chrono::milliseconds k_retry_first{150};
-constexpr std::chrono::milliseconds k_retry_most{1200};
+// Retries begin quickly, since most failures affect a single call, and then slow down: 32 reads
+// that are repeated without a pause keep a saturated link saturated.
+constexpr std::chrono::milliseconds k_initial_retry_delay{150};
+constexpr std::chrono::milliseconds k_max_retry_delay{1200};
 } // namespace
 
-partition_loader::reading::reading(common::timekeeper& time, adapter::row_range what)
-    : range(std::move(what)), retry(time), delay(k_retry_first)
+partition_loader::range_reader::range_reader(common::timekeeper& time, adapter::row_range to_read)
+    : range(std::move(to_read)), retry(time), delay(k_initial_retry_delay)
 {
 }
 
@@ -37,81 +37,81 @@
       m_partition(std::move(partition)),
       m_done(std::move(done))
 {
-  // The commit's row comes first: from then on only this owner commits.
-  add({k_commits_table, m_partition, {}, {}, 1});
-  add({k_claims_table, m_partition, {}, {}, 500});
-  add({k_progress_table, m_partition, {}, {}, 500});
+  // The commit row is read before all others: from then on only this owner commits.
+  add_range({k_commits_table, m_partition, {}, {}, 1});
+  add_range({k_claims_table, m_partition, {}, {}, 500});
+  add_range({k_progress_table, m_partition, {}, {}, 500});
   for (const std::string& part : job_parts())
-    add({k_jobs_table, part, {}, {}, 500});
+    add_range({k_jobs_table, part, {}, {}, 500});
 }
 
-void partition_loader::add(adapter::row_range range)
+void partition_loader::add_range(adapter::row_range range)
 {
-  m_readings.push_back(std::make_unique<reading>(m_time, std::move(range)));
+  m_readers.push_back(std::make_unique<range_reader>(m_time, std::move(range)));
 }
 
 void partition_loader::start()
 {
-  m_open = m_readings.size();
+  m_unfinished = m_readers.size();
   m_loaded.read_began = m_time.now();
-  read(*m_readings.front());
+  read(*m_readers.front());
 }
 
 void partition_loader::abandon()
 {
   m_abandoned = true;
-  for (const auto& each : m_readings)
+  for (const auto& each : m_readers)
     each->retry.cancel();
 }
 
-void partition_loader::read(reading& which)
+void partition_loader::read(range_reader& reader)
 {
-  m_store.read(which.range, m_store.patience(k_read_timeout),
-               [self = shared_from_this(), &which](const adapter::rows_result& result)
+  m_store.read(reader.range, m_store.patience(k_read_timeout),
+               [self = shared_from_this(), &reader](const adapter::rows_result& result)
                {
                  if (!self->m_abandoned)
-                   self->on_page(which, result);
+                   self->on_page(reader, result);
                });
 }
 
-void partition_loader::on_page(reading& which, const adapter::rows_result& result)
+void partition_loader::on_page(range_reader& reader, const adapter::rows_result& result)
 {
   if (result.end != adapter::store_end::done)
   {
     common::log_process("partition_read_failed", {{"partition", m_partition},
-                                                  {"table", which.range.table},
+                                                  {"table", reader.range.table},
                                                   {"end", adapter::to_text(result.end)},
                                                   {"detail", result.detail}});
-    which.retry.start(which.delay, [this, &which] { read(which); });
-    which.delay = std::min(which.delay * 2, k_retry_most);
+    reader.retry.start(reader.delay, [this, &reader] { read(reader); });
+    reader.delay = std::min(reader.delay * 2, k_max_retry_delay);
     return;
   }
-  which.delay = k_retry_first;
+  reader.delay = k_initial_retry_delay;
   if (m_loaded.read_version == 0)
     m_loaded.read_version = result.version;
   for (const adapter::row& row : result.rows)
-    take(row);
-  if (!result.more || result.rows.empty() || which.range.most == 1)
+    add_row(row);
+  if (!result.more || result.rows.empty() || reader.range.most == 1)
   {
     on_range_read();
     return;
   }
-  // The next key in byte order.
-  which.range.first = result.rows.back().at.key + std::string(1, '\x01');
-  read(which);
+  // Continues at the next key in byte order.
+  reader.range.first = result.rows.back().at.key + std::string(1, '\x01');
+  read(reader);
 }
 
 void partition_loader::on_range_read()
 {
-  const bool first = m_open == m_readings.size();
-  --m_open;
-  if (m_open == 0)
-    m_done(loaded());
-  for (std::size_t i = 1; first && i < m_readings.size(); ++i)
-    read(*m_readings[i]);
+  const bool first = m_unfinished == m_readers.size();
+  --m_unfinished;
+  if (m_unfinished == 0)
+    m_done(take_result());
+  for (std::size_t i = 1; first && i < m_readers.size(); ++i)
+    read(*m_readers[i]);
 }
 
-void partition_loader::take(const adapter::row& row)
+void partition_loader::add_row(const adapter::row& row)
 {
   if (row.at.table == k_commits_table)
   {
@@ -140,24 +140,25 @@
       common::log_request("row_damaged", row.at.key, {{"error", to_text(progress.error())}});
     return;
   }
-  auto kept = job_row_from(row);
-  if (!kept)
+  auto stored_row = job_row_from(row);
+  if (!stored_row)
     return;
-  if (std::holds_alternative<cancel_mark>(kept->content))
-    m_loaded.cancelled.push_back(kept->id);
-  auto* const job = std::get_if<jobs::accepted_job>(&kept->content);
+  if (std::holds_alternative<cancel_mark>(stored_row->content))
+    m_loaded.cancelled.push_back(stored_row->id);
+  auto* const job = std::get_if<jobs::accepted_job>(&stored_row->content);
   if (job == nullptr || !runs_in(*job, m_partition))
     return;
   m_loaded.jobs.push_back({std::move(*job), row.version});
 }
 
-loaded_partition partition_loader::loaded()
+loaded_partition partition_loader::take_result()
 {
-  std::set<std::string> shared; // whose rows others still need, unless they are cancelled
+  // Jobs of all partitions, whose rows other owners still need unless the job is cancelled.
+  std::set<std::string> shared_jobs;
   for (const loaded_partition::stored_job& each : m_loaded.jobs)
   {
     if (each.job.home == jobs::k_every_partition)
-      shared.insert(each.job.id);
+      shared_jobs.insert(each.job.id);
   }
   std::erase_if(m_loaded.jobs,
                 [this](const loaded_partition::stored_job& each)
@@ -169,7 +170,7 @@
   for (const auto& [id, progress] : m_loaded.progress)
   {
     if (jobs::is_final(progress.state) &&
-        (!shared.contains(id) || progress.state == jobs::job_state::cancelled))
+        (!shared_jobs.contains(id) || progress.state == jobs::job_state::cancelled))
       m_loaded.ended.push_back(id);
   }
   return std::move(m_loaded);
--- a/Source/Core/Node/PartitionLoader.h
+++ b/Source/Core/Node/PartitionLoader.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Reads what a partition's new owner has to know: the last commit, every job and how far it is.
+// Reads what a partition's new owner needs to know: the last commit, the claims on workers, and
+// every job with its progress.
 
 #include <functional>
 #include <map>
@@ -28,16 +29,18 @@
     jobs::accepted_job job;
     adapter::row_version version = 0;
   };
-  std::vector<stored_job> jobs; // of this partition, ended ones left out
-  // Their rows can go after a while. Marks of refusals stay: a job may take their place.
+  std::vector<stored_job> jobs; // of this partition, without ended jobs
+  // Ended jobs, whose rows can be removed after a while. Refusal marks are not included and stay: a
+  // job may replace them.
   std::vector<std::string> ended;
   std::map<std::string, jobs::job_progress> progress;
   std::vector<std::string> cancelled;
   std::map<common::worker_id, scheduling::worker_claim> claims;
   adapter::row_version commit_version = 0; // 0: nothing was ever committed
   std::uint64_t commit_number = 0;
-  adapter::row_version read_version = 0; // changes of the jobs' table behind this are not in here
-  common::time_point read_began{};       // when the reading began; what was kept before is in here
+  // Store version of the first read; later changes of the jobs' table may not be included.
+  adapter::row_version read_version = 0;
+  common::time_point read_began{}; // when reading began; whatever was stored before is included
 };
 
 class partition_loader : public std::enable_shared_from_this<partition_loader>
@@ -45,33 +48,33 @@
 public:
   using loaded_handler = std::function<void(loaded_partition)>;
 
-  // `clock` is known by the takeover's answer, as a rule.
+  // `clock` is usually set by the takeover's reply.
   partition_loader(common::timekeeper& time, adapter::store_client& store, const store_clock& clock,
                    std::string partition, loaded_handler done);
 
-  // Reads on through failures until everything is there or abandon() is called. All ranges but the
-  // first are read at once: a slow store takes a quarter of a second for each.
+  // Repeats failed reads until everything is read or abandon() is called. All ranges but the first
+  // are read in parallel, since a slow store takes a quarter of a second for each.
   void start();
   void abandon();
 
 private:
-  // One range, page by page.
-  struct reading
+  // Reads one range, page by page.
+  struct range_reader
   {
-    reading(common::timekeeper& time, adapter::row_range what);
+    range_reader(common::timekeeper& time, adapter::row_range to_read);
 
     adapter::row_range range;
     common::one_shot_timer retry;
     std::chrono::milliseconds delay; // before the next retry
   };
 
-  void add(adapter::row_range range);
-  void read(reading& which);
-  void on_page(reading& which, const adapter::rows_result& result);
+  void add_range(adapter::row_range range);
+  void read(range_reader& reader);
+  void on_page(range_reader& reader, const adapter::rows_result& result);
   void on_range_read();
-  void take(const adapter::row& row);
+  void add_row(const adapter::row& row);
   // What was read, without the jobs that have ended.
-  loaded_partition loaded();
+  loaded_partition take_result();
 
   common::timekeeper& m_time;
   adapter::store_client& m_store;
@@ -79,8 +82,8 @@
   std::string m_partition;
   loaded_handler m_done;
   loaded_partition m_loaded;
-  std::vector<std::unique_ptr<reading>> m_readings; // the first one is read before the others
-  std::size_t m_open = 0;                           // readings that are not through
+  std::vector<std::unique_ptr<range_reader>> m_readers; // the first is read before the others
+  std::size_t m_unfinished = 0;                         // ranges that are not completely read
   bool m_abandoned = false;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/StoreClock.h
+++ b/Source/Core/Node/StoreClock.h
@@ -3,9 +3,10 @@
 
 #pragma once
 
-// The store's steady clock against our own, from the store's answers: the one clock that all
-// instances share. What one of them says with a time on it, another can tell the age of, however it
-// came. Each use takes the bound that is safe for it. No I/O.
+// Relates the store's steady clock to this process's clock, from the store's replies. The store's
+// clock is the one that all instances share: if an instance passes on information with a store
+// time, another can tell its age, however the information arrived. Each use takes the bound that is
+// safe for it. No I/O.
 
 #include <optional>
 
@@ -20,30 +21,33 @@
   explicit store_clock(const common::timekeeper& time) : m_time(time) {}
 
   common::time_point now() const override { return m_time.now(); }
-  void heard(adapter::store_time named, common::time_point sent) override;
+  void heard(adapter::store_time store_now, common::time_point sent) override;
 
-  // What the store's clock shows at that moment of ours: never too late or never too early, and off
-  // by an answer's or a call's way at most. None before the first answer.
+  // What the store's clock shows at the local time `moment`: the earliest is never too late, the
+  // latest never too early. They are off by at most the transit time of a reply or of a request.
+  // None before the first reply.
   std::optional<adapter::store_time> earliest_store_time(common::time_point moment) const;
   std::optional<adapter::store_time> latest_store_time(common::time_point moment) const;
-  // Our time at that moment of the store's: never too early.
+  // The local time at the store time `moment`; never too early.
   std::optional<common::time_point> latest_local_time(adapter::store_time moment) const;
-  // How old what was known at `when` is by now, less an answer's way at most.
+  // The age of what was known at the store time `when`; too small by at most the transit time of a
+  // reply.
   std::optional<common::duration> age_of(adapter::store_time when) const;
 
 private:
-  // The store's clock less ours, at least and at most, by the answers of one period.
+  // Lower and upper bound of the store's clock minus the local clock, from the replies of one
+  // period.
   struct bounds
   {
     common::duration least;
     common::duration most;
   };
 
-  std::optional<bounds> known() const;
+  std::optional<bounds> offset_bounds() const;
 
   const common::timekeeper& m_time;
-  std::optional<bounds> m_current; // since m_period_began
-  std::optional<bounds> m_earlier; // of the period before
+  std::optional<bounds> m_current;  // since m_period_began
+  std::optional<bounds> m_previous; // of the preceding period
   common::time_point m_period_began{};
 };
 } // namespace yardhill::node
--- a/Source/UnitTests/Node/CellLayoutTest.cpp
+++ b/Source/UnitTests/Node/CellLayoutTest.cpp
@@ -22,7 +22,7 @@
   BOOST_TEST(layout.partitions_of_job("00000000000000aa").back() == node::k_whole_cell);
 }
 
-// A partition with few of the cell's workers would be full while others have room.
+// A partition with too few of the cell's workers would be full while others have free capacity.
 BOOST_AUTO_TEST_CASE(workers_and_jobs_are_spread_evenly)
 {
   constexpr int k_count = 4000;
@@ -44,7 +44,7 @@
   }
 }
 
-// A task that no partition has would never run, one that two have would run twice.
+// A task that belongs to no partition would never run; one that belongs to two would run twice.
 BOOST_AUTO_TEST_CASE(each_task_of_a_shared_job_has_one_partition)
 {
   const cell_layout layout(3);
--- a/Source/UnitTests/Node/JobStoreHarness.h
+++ b/Source/UnitTests/Node/JobStoreHarness.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// One submission on its way into the store's model, with the fate of each of its calls.
+// Submits a job to the store model, with a given outcome for each call.
 
 #include <deque>
 #include <functional>
@@ -23,14 +23,15 @@
   answered,
   answer_lost,
   lost,
-  held, // not carried out before carry_out_held(), and not answered
+  held, // not carried out before carry_out_held(), and never answered
   turned_away
 };
 
-// The store's model; what becomes of each call is told beforehand, after that all are answered.
-struct fated_store : http::request_sender
+// A store model that applies the next of `fates` to each call; when none is left, calls are
+// answered.
+struct scripted_store : http::request_sender
 {
-  explicit fated_store(model::virtual_time& time) : store(time) {}
+  explicit scripted_store(model::virtual_time& time) : store(time) {}
 
   void send(http::request call, common::duration, http::reply_handler done) override
   {
@@ -77,7 +78,7 @@
 {
   model::virtual_time time;
   common::metrics metrics;
-  fated_store wire{time};
+  scripted_store wire{time};
   adapter::store_client client{wire, metrics};
   job_store jobs{time, client, client};
   std::optional<accept_result> got;
--- a/Source/UnitTests/Node/JobStoreTest.cpp
+++ b/Source/UnitTests/Node/JobStoreTest.cpp
@@ -11,7 +11,7 @@
 
 BOOST_AUTO_TEST_SUITE(JobStoreTest)
 
-BOOST_FIXTURE_TEST_CASE(a_write_that_was_lost_is_refused_once_it_can_happen_no_more, accepting)
+BOOST_FIXTURE_TEST_CASE(a_lost_write_is_refused_once_it_can_no_longer_be_carried_out, accepting)
 {
   accept({fate::lost});
   BOOST_TEST((got->end == node::accept_outcome::refused));
@@ -23,12 +23,12 @@
 {
   accept({fate::answer_lost});
   BOOST_TEST((got->end == node::accept_outcome::accepted));
-  BOOST_TEST(got->first); // so that the owner is told
+  BOOST_TEST(got->first); // so that the owner is notified
 }
 
-// Explorer, seeds 75 and 109, on a trial: the first copy had been done, the others were turned
-// away, and the caller was told that the job is not kept.
-BOOST_FIXTURE_TEST_CASE(a_refusal_is_settled_if_an_earlier_copy_may_be_done, accepting)
+// Guards against a false refusal (explorer, seeds 75 and 109): the first copy of the write had been
+// carried out, the others were rejected, and the caller was told that the job is not stored.
+BOOST_FIXTURE_TEST_CASE(a_refusal_is_confirmed_if_an_earlier_copy_may_be_done, accepting)
 {
   accept({fate::answer_lost, fate::turned_away, fate::turned_away, fate::turned_away,
           fate::turned_away, fate::turned_away});
@@ -36,8 +36,8 @@
   BOOST_TEST((got->end == node::accept_outcome::accepted));
 }
 
-// Nothing was done by this submission, but an earlier one of the same id may be kept.
-BOOST_FIXTURE_TEST_CASE(calls_that_were_all_turned_away_tell_nothing_of_the_job, accepting)
+// This submission changed nothing, but an earlier one of the same id may be stored.
+BOOST_FIXTURE_TEST_CASE(rejected_calls_leave_the_outcome_unknown, accepting)
 {
   accept(std::deque<fate>(20, fate::turned_away));
   BOOST_TEST((got->end == node::accept_outcome::unknown));
@@ -45,8 +45,9 @@
   BOOST_TEST(!kept());
 }
 
-// Two partitions would run it: the one that its row names, and the one that this call chose.
-BOOST_FIXTURE_TEST_CASE(a_row_that_another_call_has_kept_is_not_taken_for_its_own, accepting)
+// Otherwise two partitions would run the job: the one that its row names, and the one that this
+// call chose.
+BOOST_FIXTURE_TEST_CASE(a_row_stored_by_another_call_is_not_reported_as_first, accepting)
 {
   home = "cell-2-of-2";
   accept({});
@@ -57,7 +58,7 @@
   BOOST_TEST(!got->first);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_submission_is_kept_as_soon_as_the_store_takes_it, accepting)
+BOOST_FIXTURE_TEST_CASE(a_submission_is_stored_as_soon_as_the_store_accepts_it, accepting)
 {
   accept({fate::turned_away, fate::turned_away, fate::turned_away, fate::turned_away});
   BOOST_TEST((got->end == node::accept_outcome::accepted));
--- a/Source/UnitTests/Node/LayoutManagerTest.cpp
+++ b/Source/UnitTests/Node/LayoutManagerTest.cpp
@@ -13,19 +13,19 @@
 
 namespace
 {
-// An instance that looks at its cell every 25 ms.
-struct keeping
+// Instances that call tick() every 25 ms.
+struct managers_under_test
 {
   model::virtual_time time;
   common::metrics metrics;
   node::store_wire wire{time};
   adapter::store_client store{wire, metrics, nullptr};
-  node::layout_manager keeper{time, store, 0};
+  node::layout_manager manager{time, store, 0};
   node::layout_manager other{time, store, 0};
 
-  keeping()
+  managers_under_test()
   {
-    keeper.rows_read();
+    manager.rows_read();
     other.rows_read();
   }
 
@@ -48,64 +48,65 @@
 
 BOOST_AUTO_TEST_SUITE(LayoutManagerTest)
 
-BOOST_FIXTURE_TEST_CASE(few_instances_make_one_partition_whatever_the_workers, keeping)
+BOOST_FIXTURE_TEST_CASE(few_instances_make_one_partition_whatever_the_workers, managers_under_test)
 {
-  pass(keeper, {7, 1000}, milliseconds{500});
-  BOOST_TEST(partitions(keeper) == 0U); // others may not have been found yet
-  pass(keeper, {7, 1000}, seconds{1});
-  BOOST_TEST(partitions(keeper) == 1U);
+  pass(manager, {7, 1000}, milliseconds{500});
+  BOOST_TEST(partitions(manager) == 0U); // other instances may not have been found yet
+  pass(manager, {7, 1000}, seconds{1});
+  BOOST_TEST(partitions(manager) == 1U);
 }
 
-// Workers that announce themselves over some seconds were taken for all that there are.
-BOOST_FIXTURE_TEST_CASE(workers_are_counted_once_their_number_has_settled, keeping)
+// Guards against a count that is taken too early: workers that register over some seconds were
+// taken for all that there are.
+BOOST_FIXTURE_TEST_CASE(the_worker_count_is_used_once_it_is_stable, managers_under_test)
 {
   for (std::size_t workers = 0; workers <= 1100; workers += 110)
-    pass(keeper, {147, workers}, milliseconds{400});
-  BOOST_TEST(keeper.needs_worker_count());
-  BOOST_TEST(partitions(keeper) == 0U);
-  pass(keeper, {147, 1100}, seconds{2});
-  BOOST_TEST(partitions(keeper) == 4U);
-  BOOST_TEST(!keeper.needs_worker_count());
+    pass(manager, {147, workers}, milliseconds{400});
+  BOOST_TEST(manager.needs_worker_count());
+  BOOST_TEST(partitions(manager) == 0U);
+  pass(manager, {147, 1100}, seconds{2});
+  BOOST_TEST(partitions(manager) == 4U);
+  BOOST_TEST(!manager.needs_worker_count());
 }
 
-BOOST_FIXTURE_TEST_CASE(many_instances_with_few_workers_make_one_partition, keeping)
+BOOST_FIXTURE_TEST_CASE(many_instances_with_few_workers_make_one_partition, managers_under_test)
 {
-  pass(keeper, {147, 120}, seconds{3});
-  BOOST_TEST(partitions(keeper) == 1U);
+  pass(manager, {147, 120}, seconds{3});
+  BOOST_TEST(partitions(manager) == 1U);
 }
 
-// Two instances that count differently must not divide the cell differently.
-BOOST_FIXTURE_TEST_CASE(whoever_comes_second_takes_the_first_ones_layout, keeping)
+// Two instances that count different numbers of workers must not divide the cell differently.
+BOOST_FIXTURE_TEST_CASE(the_second_instance_uses_the_layout_of_the_first, managers_under_test)
 {
-  pass(keeper, {147, 1100}, seconds{3});
-  BOOST_TEST(partitions(keeper) == 4U);
+  pass(manager, {147, 1100}, seconds{3});
+  BOOST_TEST(partitions(manager) == 4U);
   pass(other, {147, 600}, seconds{3});
   BOOST_TEST(partitions(other) == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_layout_whose_answer_was_lost_is_met_again, keeping)
+BOOST_FIXTURE_TEST_CASE(a_layout_whose_reply_was_lost_is_found_again, managers_under_test)
 {
   wire.lose_answers = true;
-  pass(keeper, {147, 1100}, seconds{3});
-  BOOST_TEST(partitions(keeper) == 0U);
+  pass(manager, {147, 1100}, seconds{3});
+  BOOST_TEST(partitions(manager) == 0U);
   wire.lose_answers = false;
-  pass(keeper, {147, 1100}, seconds{2});
-  BOOST_TEST(partitions(keeper) == 4U);
+  pass(manager, {147, 1100}, seconds{2});
+  BOOST_TEST(partitions(manager) == 4U);
 }
 
-// An instance that is updated in a running cell must not divide it.
-BOOST_FIXTURE_TEST_CASE(a_cell_with_an_owner_and_no_layout_has_one_partition, keeping)
+// An instance that is upgraded in a running cell must not divide the cell.
+BOOST_FIXTURE_TEST_CASE(a_cell_with_an_owner_and_no_layout_has_one_partition, managers_under_test)
 {
   node::owner_row row;
   row.holder = "instance-9";
-  keeper.take_in({node::owner_key(node::k_whole_cell), node::to_row_text(row), 5});
-  BOOST_TEST(partitions(keeper) == 1U);
+  manager.take_in({node::owner_key(node::k_whole_cell), node::to_row_text(row), 5});
+  BOOST_TEST(partitions(manager) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_damaged_layout_decides_nothing, keeping)
+BOOST_FIXTURE_TEST_CASE(a_damaged_layout_decides_nothing, managers_under_test)
 {
-  keeper.take_in({node::layout_key(), R"({"partitions": 0})", 5});
-  BOOST_TEST(partitions(keeper) == 0U);
+  manager.take_in({node::layout_key(), R"({"partitions": 0})", 5});
+  BOOST_TEST(partitions(manager) == 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Node/StoreClientTest.cpp
+++ b/Source/UnitTests/Node/StoreClientTest.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// How long answers of the store are waited for. Pattern: over links of 2 Mbit/s that were full, the
-// 35 readings of a takeover began to be answered after 1.5 s and more; each was given up after
-// 1.5 s, repeated after 0.15 s, also through peers with links as full, and no instance owned the
-// partition for 50 s (3,285 failed readings).
+// How long the client waits for replies of the store. Guards against a takeover that saturated
+// links hold up: over links of 2 Mbit/s, the replies to the 35 reads of a takeover began after 1.5
+// s and more. Each read was given up after 1.5 s and repeated after 0.15 s, also through peers with
+// links as saturated, and no instance owned the partition for 50 s (3,285 failed reads).
 
 #include <deque>
 
@@ -50,7 +50,7 @@
   common::metrics metrics;
   adapter::store_client client{store, metrics, &clock};
 
-  // A read whose answer begins after `took`, or never.
+  // Sends a read whose reply begins after `took`, or never.
   void read(std::optional<milliseconds> took)
   {
     client.read({"jobs", "part", {}, {}, 500}, client.patience(milliseconds{1500}),
@@ -72,7 +72,7 @@
 
 BOOST_AUTO_TEST_SUITE(StoreClientTest)
 
-BOOST_FIXTURE_TEST_CASE(answers_that_begin_late_are_waited_for_longer, client_under_test)
+BOOST_FIXTURE_TEST_CASE(late_replies_extend_the_timeout, client_under_test)
 {
   BOOST_TEST((client.patience(milliseconds{1500}) == milliseconds{1500}));
   for (int i = 0; i < 10; ++i)
@@ -84,8 +84,8 @@
   BOOST_TEST((client.patience(milliseconds{1500}) == milliseconds{1500}));
 }
 
-// A lost answer tells nothing of how long the others take.
-BOOST_FIXTURE_TEST_CASE(lost_answers_are_not_waited_for_longer, client_under_test)
+// A lost reply does not show how long the others take.
+BOOST_FIXTURE_TEST_CASE(lost_replies_do_not_extend_the_timeout, client_under_test)
 {
   for (int i = 0; i < 40; ++i)
     read(i % 3 == 0 ? std::nullopt : std::optional(milliseconds{5}));
--- a/Source/UnitTests/Node/StoreClockRestartTest.cpp
+++ b/Source/UnitTests/Node/StoreClockRestartTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// A store that starts anew may begin its clock again. What was heard before is then about another
-// clock, and taken together with it the end of a lease to come seems long past.
+// A restarted store may start its clock again. Earlier replies are then about another clock;
+// combined with later ones, they make the future end of a lease seem long past.
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,7 +16,7 @@
 
 BOOST_AUTO_TEST_SUITE(StoreClockRestartTest)
 
-BOOST_AUTO_TEST_CASE(a_clock_that_is_set_back_is_believed_from_its_next_answer)
+BOOST_AUTO_TEST_CASE(a_clock_that_is_set_back_is_used_from_its_next_reply)
 {
   model::virtual_time time;
   node::store_clock clock(time);
--- a/Source/UnitTests/Node/StoreClockTest.cpp
+++ b/Source/UnitTests/Node/StoreClockTest.cpp
@@ -16,7 +16,7 @@
 {
 constexpr store_time k_begin{milliseconds{51230}};
 
-// The store's clock runs beside ours; answers take a while to come.
+// A store clock that runs at the speed of the local one; replies take some time to arrive.
 struct shared_clock
 {
   model::virtual_time time;
@@ -28,20 +28,22 @@
   {
     return k_begin + std::chrono::floor<milliseconds>(time.now() - begin);
   }
-  // The answer comes now; the store gave it `way` ago and got the call `there` before that.
-  void hear(milliseconds way, milliseconds there = milliseconds{0})
+  // A reply arrives now; the store sent it `reply_transit` ago and received the request after
+  // `request_transit`.
+  void hear(milliseconds reply_transit, milliseconds request_transit = milliseconds{0})
   {
-    clock.heard(shown() - way, time.now() - way - there);
+    clock.heard(shown() - reply_transit, time.now() - reply_transit - request_transit);
   }
 };
 
-// A machine that has heard the store once, over ways of so long.
+// A machine that has received one reply of the store, with the given transit times.
 struct machine
 {
-  machine(seconds ahead, milliseconds there, milliseconds back) : ahead_of_store(ahead)
+  machine(seconds ahead, milliseconds request_transit, milliseconds reply_transit)
+      : ahead_of_store(ahead)
   {
-    time.run_until(common::time_point(k_heard.time_since_epoch() + ahead + back));
-    clock.heard(k_heard, time.now() - back - there);
+    time.run_until(common::time_point(k_heard.time_since_epoch() + ahead + reply_transit));
+    clock.heard(k_heard, time.now() - reply_transit - request_transit);
   }
 
   common::time_point at(store_time moment) const
@@ -66,7 +68,7 @@
 
 BOOST_AUTO_TEST_SUITE(StoreClockTest)
 
-BOOST_FIXTURE_TEST_CASE(nothing_is_known_before_the_first_answer, shared_clock)
+BOOST_FIXTURE_TEST_CASE(nothing_is_known_before_the_first_reply, shared_clock)
 {
   BOOST_TEST(!clock.earliest_store_time(time.now()).has_value());
   BOOST_TEST(!clock.latest_store_time(time.now()).has_value());
@@ -74,7 +76,7 @@
   BOOST_TEST(!clock.age_of(k_begin).has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(the_answer_with_the_shortest_way_counts, shared_clock)
+BOOST_FIXTURE_TEST_CASE(the_reply_with_the_shortest_transit_counts, shared_clock)
 {
   hear(milliseconds{40});
   hear(milliseconds{2});
@@ -85,7 +87,7 @@
   BOOST_TEST((clock.age_of(k_begin) == milliseconds{998}));
 }
 
-BOOST_FIXTURE_TEST_CASE(the_call_with_the_shortest_way_counts, shared_clock)
+BOOST_FIXTURE_TEST_CASE(the_request_with_the_shortest_transit_counts, shared_clock)
 {
   hear(milliseconds{0}, milliseconds{60});
   const auto before = clock.latest_store_time(time.now());
@@ -96,14 +98,15 @@
   BOOST_TEST((clock.latest_store_time(time.now()) >= shown()));
 }
 
-BOOST_FIXTURE_TEST_CASE(what_is_known_from_the_future_is_not_old, shared_clock)
+BOOST_FIXTURE_TEST_CASE(a_store_time_in_the_future_has_age_zero, shared_clock)
 {
   hear(milliseconds{0});
   BOOST_TEST((clock.age_of(shown() + milliseconds{5}) == common::duration{0}));
 }
 
-// Ours runs fast: the store's falls behind, and early answers would keep it ahead for ever.
-BOOST_FIXTURE_TEST_CASE(answers_of_long_ago_do_not_count, shared_clock)
+// The local clock runs fast, so the store's falls behind; old replies would keep the estimate
+// ahead for ever.
+BOOST_FIXTURE_TEST_CASE(old_replies_do_not_count, shared_clock)
 {
   hear(milliseconds{0});
   for (int i = 1; i <= 30; ++i)
@@ -116,7 +119,7 @@
   BOOST_TEST((shown() - *now >= milliseconds{20}));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_old_word_gives_way_to_any_new_one, shared_clock)
+BOOST_FIXTURE_TEST_CASE(a_new_reply_replaces_an_expired_one, shared_clock)
 {
   hear(milliseconds{0}, milliseconds{60});
   pass(seconds{91});
@@ -125,15 +128,15 @@
   BOOST_TEST((clock.latest_store_time(time.now()) > before));
 }
 
-BOOST_FIXTURE_TEST_CASE(without_answers_the_latest_known_goes_on, shared_clock)
+BOOST_FIXTURE_TEST_CASE(without_replies_the_latest_offset_is_kept, shared_clock)
 {
   hear(milliseconds{3});
   pass(seconds{60});
   BOOST_TEST((clock.earliest_store_time(time.now()) == shown() - milliseconds{3}));
 }
 
-// Wherever in its way the call met the store.
-BOOST_FIXTURE_TEST_CASE(a_moment_told_to_another_machine_is_never_too_early, two_machines)
+// Holds whenever between request and reply the store read its clock.
+BOOST_FIXTURE_TEST_CASE(a_time_passed_to_another_machine_is_never_too_early, two_machines)
 {
   const auto stored = ours.clock.latest_store_time(ours.at(k_moment));
   BOOST_TEST_REQUIRE(stored.has_value());
@@ -145,7 +148,7 @@
   BOOST_TEST((*read <= theirs.at(k_moment) + milliseconds{25}));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_claim_tells_other_machines_when_it_is_over, two_machines)
+BOOST_FIXTURE_TEST_CASE(a_claim_passes_its_end_to_other_machines, two_machines)
 {
   scheduling::worker_claim claim;
   claim.address = {"10.0.0.1", 80};
@@ -158,7 +161,7 @@
   BOOST_TEST(!read->closed);
 }
 
-// Rows of instances that do not know the clock yet, and read by such.
+// Rows that are written, or read, by an instance that does not know the store's clock yet.
 BOOST_FIXTURE_TEST_CASE(a_claim_is_read_without_its_end_where_a_clock_is_not_known, two_machines)
 {
   scheduling::worker_claim claim;
