--- a/Source/Core/Node/CommitWriter.cpp
+++ b/Source/Core/Node/CommitWriter.cpp
@@ -12,7 +12,7 @@
 {
 namespace
 {
-// The store answers in 4 ms; under its slowest measured trouble (sixty times) in 240.
+// The store answers in 4 ms, and in 240 ms at the slowest that was measured (sixty times slower).
 constexpr std::chrono::milliseconds k_commit_timeout{900};
 constexpr std::chrono::milliseconds k_retry_pause{200};
 
@@ -27,7 +27,7 @@
   return {k_owners_table, partition, k_owner_key};
 }
 
-const adapter::row* row_in(const std::vector<adapter::row>& rows, const char* table)
+const adapter::row* find_row(const std::vector<adapter::row>& rows, const char* table)
 {
   const auto found = std::find_if(rows.begin(), rows.end(),
                                   [table](const adapter::row& row)
@@ -37,13 +37,14 @@
 
 commit_writer::commit_writer(common::timekeeper& time, adapter::store_client& store,
                              const store_clock& clock, common::metrics& counts,
-                             std::string partition, std::string life, commit_handlers handlers)
+                             std::string partition, std::string incarnation,
+                             commit_handlers handlers)
     : m_time(time),
       m_store(store),
       m_clock(clock),
       m_metrics(counts),
       m_partition(std::move(partition)),
-      m_life(std::move(life)),
+      m_incarnation(std::move(incarnation)),
       m_handlers(std::move(handlers)),
       m_retry_timer(time),
       m_alive(std::make_shared<int>(0))
@@ -52,7 +53,7 @@
 
 commit_writer::~commit_writer() = default;
 
-bool commit_writer::carries(const std::string& job) const
+bool commit_writer::has_in_flight(const std::string& job) const
 {
   return m_pending && m_pending->commit.batch.rows.contains(job);
 }
@@ -64,7 +65,8 @@
   adapter::transaction& change = next.change;
   change.conditions.push_back({owner_key(m_partition), m_position.owner_version});
   change.conditions.push_back({commit_key(m_partition), m_position.commit_version});
-  change.puts.push_back({commit_key(m_partition), to_row_text(commit_row{m_life, next.number})});
+  change.puts.push_back(
+      {commit_key(m_partition), to_row_text(commit_row{m_incarnation, next.number})});
   for (const auto& [id, text] : batch.rows)
     change.puts.push_back({{k_progress_table, m_partition, id}, text});
   for (const auto& [id, claim] : batch.claims)
@@ -88,15 +90,15 @@
       [this, alive = std::weak_ptr<int>(m_alive)](const adapter::transaction_result& result)
       {
         if (!alive.expired())
-          on_answer(result);
+          on_reply(result);
       });
 }
 
-void commit_writer::on_answer(const adapter::transaction_result& result)
+void commit_writer::on_reply(const adapter::transaction_result& result)
 {
   if (result.end == adapter::store_end::done)
   {
-    done(result.version);
+    on_committed(result.version);
     return;
   }
   if (result.end == adapter::store_end::conflict)
@@ -115,39 +117,39 @@
 void commit_writer::on_conflict(const adapter::transaction_result& result)
 {
   m_metrics.add(common::retry_reason::store_conflict);
-  const adapter::row* const owner = row_in(result.conflicting, k_owners_table);
-  const adapter::row* const last = row_in(result.conflicting, k_commits_table);
-  const auto owned = owner == nullptr ? common::result<owner_row>(common::new_error({}))
-                                      : owner_row_from(owner->value);
-  // An earlier copy of this very commit may be done; that tells nothing if somebody has taken over
-  // since.
-  if (!owned || owned->life != m_life)
+  const adapter::row* const owner = find_row(result.conflicting, k_owners_table);
+  const adapter::row* const last_commit = find_row(result.conflicting, k_commits_table);
+  const auto current_owner = owner == nullptr ? common::result<owner_row>(common::new_error({}))
+                                              : owner_row_from(owner->value);
+  // An earlier copy of this commit may have been carried out, but that proves nothing if another
+  // instance has taken over since.
+  if (!current_owner || current_owner->life != m_incarnation)
   {
     // The handler may destroy this writer.
     const auto replaced = m_handlers.replaced;
     replaced(owner == nullptr ? adapter::row{} : *owner);
     return;
   }
-  const auto committed = last == nullptr ? common::result<commit_row>(common::new_error({}))
-                                         : commit_row_from(last->value);
-  if (committed && committed->life == m_life && committed->number == m_pending->number)
+  const auto committed = last_commit == nullptr ? common::result<commit_row>(common::new_error({}))
+                                                : commit_row_from(last_commit->value);
+  if (committed && committed->life == m_incarnation && committed->number == m_pending->number)
   {
-    // Others count the ownership from when that copy was done.
+    // Other instances count the ownership from when the earlier copy was carried out.
     m_pending->commit.sent = m_pending->first_sent;
-    done(last->version);
+    on_committed(last_commit->version);
     return;
   }
   common::log_process("commit_conditions_stale", {{"partition", m_partition},
                                                   {"owner_version", owner->version},
                                                   {"expected", m_position.owner_version}});
   m_position.owner_version = owner->version;
-  m_position.commit_version = last == nullptr ? 0 : last->version;
+  m_position.commit_version = last_commit == nullptr ? 0 : last_commit->version;
   m_pending->change.conditions[0].version = m_position.owner_version;
   m_pending->change.conditions[1].version = m_position.commit_version;
   retry();
 }
 
-void commit_writer::done(adapter::row_version version)
+void commit_writer::on_committed(adapter::row_version version)
 {
   pending written = *std::exchange(m_pending, std::nullopt);
   written.commit.version = version;
--- a/Source/Core/Node/CommitWriter.h
+++ b/Source/Core/Node/CommitWriter.h
@@ -3,11 +3,11 @@
 
 #pragma once
 
-// Writes down what an owner decides: one transaction at a time, each under the condition that the
-// owner's row is still the one it wrote and that no other commit came in between.
+// Commits an owner's decisions to the store: one transaction at a time, each conditional on the
+// owner's row still being the one it wrote and on no other commit in between.
 //
-// A commit without an answer is sent again as it was; if an earlier copy of it was done, or is done
-// later, the conditions let only one of them through.
+// A commit without a reply is sent again unchanged. If an earlier copy of it was carried out, or is
+// carried out later, the conditions let only one of the copies succeed.
 
 #include <functional>
 #include <optional>
@@ -21,7 +21,7 @@
 
 namespace yardhill::node
 {
-// Where the rows of a partition's owner and of its last commit stand.
+// Versions of the rows of a partition's owner and of its last commit.
 struct commit_position
 {
   adapter::row_version owner_version = 0;
@@ -29,39 +29,39 @@
   std::uint64_t number = 0;                // of the last commit
 };
 
-// A commit that is written.
+// A commit that the store has carried out.
 struct written_commit
 {
   scheduling::commit_batch batch;
-  std::optional<owner_row> owner;   // if the owner's row was written with it
+  std::optional<owner_row> owner;   // if the owner's row was written as well
   adapter::row_version version = 0; // of the rows written
-  common::time_point sent;          // when the store was asked; the word is at least that fresh
+  common::time_point sent;          // when it was sent; it was carried out no earlier
 };
 
 struct commit_handlers
 {
   std::function<void(const written_commit&)> written;
-  // The owner's row is another's: this ownership is over.
+  // The owner's row names another owner, so this ownership has ended.
   std::function<void(const adapter::row& owner)> replaced;
 };
 
 class commit_writer
 {
 public:
-  // `clock`: for the claims.
+  // `clock`: converts the times in claims to the store's clock.
   commit_writer(common::timekeeper& time, adapter::store_client& store, const store_clock& clock,
-                common::metrics& counts, std::string partition, std::string life,
+                common::metrics& counts, std::string partition, std::string incarnation,
                 commit_handlers handlers);
   commit_writer(const commit_writer&) = delete;
   commit_writer& operator=(const commit_writer&) = delete;
   ~commit_writer();
 
-  // Before the first commit of an ownership.
+  // To be called before the first commit of an ownership.
   void begin(const commit_position& position) { m_position = position; }
   bool busy() const { return m_pending.has_value(); }
-  // Whether a job's row is on its way.
-  bool carries(const std::string& job) const;
-  // Only while not busy.
+  // Whether the commit in flight contains the job's row.
+  bool has_in_flight(const std::string& job) const;
+  // Called only while not busy().
   void write(scheduling::commit_batch batch, std::optional<owner_row> owner);
 
 private:
@@ -74,9 +74,9 @@
   };
 
   void send();
-  void on_answer(const adapter::transaction_result& result);
+  void on_reply(const adapter::transaction_result& result);
   void on_conflict(const adapter::transaction_result& result);
-  void done(adapter::row_version version);
+  void on_committed(adapter::row_version version);
   void retry();
 
   common::timekeeper& m_time;
@@ -84,15 +84,15 @@
   const store_clock& m_clock;
   common::metrics& m_metrics;
   std::string m_partition;
-  std::string m_life;
+  std::string m_incarnation;
   commit_handlers m_handlers;
   commit_position m_position;
   std::optional<pending> m_pending;
   common::one_shot_timer m_retry_timer;
-  std::shared_ptr<int> m_alive; // answers to a writer that is gone are dropped
+  std::shared_ptr<int> m_alive; // replies that arrive after the writer's destruction are dropped
 };
 
 adapter::row_key owner_key(const std::string& partition);
-// The row of that table among `rows`; null if it is not there.
-const adapter::row* row_in(const std::vector<adapter::row>& rows, const char* table);
+// The existing row of that table among `rows`; null if there is none.
+const adapter::row* find_row(const std::vector<adapter::row>& rows, const char* table);
 } // namespace yardhill::node
--- a/Source/Core/Node/HandoverPolicy.h
+++ b/Source/Core/Node/HandoverPolicy.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Whether a partition is better off with another instance than with this one.
+// Decides whether a partition should be left or handed over to another instance.
 
 #include <cstdint>
 #include <functional>
@@ -17,27 +17,30 @@
 class handover_policy
 {
 public:
-  // `spare_millis`: what this instance may use for the partition, in thousandths of a core;
-  // `strongest_peer`: the most that a peer may use for one more that lives and reaches the store.
+  // `spare_millis`: the processor share that this instance may use for the partition, in
+  // thousandths of a core. `strongest_peer_millis`: the largest share that a live peer which
+  // reaches the store may use for one more partition.
   handover_policy(const ownership_options& options, const store_path& path,
                   std::function<std::uint32_t()> spare_millis,
-                  std::function<std::uint32_t()> strongest_peer);
+                  std::function<std::uint32_t()> strongest_peer_millis);
 
-  // Whether there is a peer that could bear the partition much better.
+  // Whether a peer may use much more processor for the partition (by stronger_peer_factor).
   bool stronger_peer() const;
-  // The same for long enough to give the partition to it. Asked often while this instance owns one.
-  bool stronger_for_long(common::time_point now);
-  // Whether the store turns this instance away but takes its commits through a peer: another
-  // instance hears of new jobs at once. `last_written`: when a commit was last done.
-  bool reached_through_peers(common::time_point now, common::time_point last_written) const;
-  // An ownership has ended.
+  // Whether stronger_peer() has held for long enough to release the partition to such a peer.
+  // Called often while this instance owns the partition.
+  bool stronger_peer_for_long(common::time_point now);
+  // Whether, for `relayed_release_delay`, the store has failed this instance's direct calls but
+  // carried out its commits through a peer. The partition is then better released: another instance
+  // learns of new jobs at once. `last_written`: when a commit was last carried out.
+  bool store_reached_through_peers(common::time_point now, common::time_point last_written) const;
+  // To be called when an ownership has ended.
   void reset() { m_stronger_since.reset(); }
 
 private:
   ownership_options m_options;
   const store_path& m_path;
   std::function<std::uint32_t()> m_spare_millis;
-  std::function<std::uint32_t()> m_strongest_peer;
+  std::function<std::uint32_t()> m_strongest_peer_millis;
   std::optional<common::time_point> m_stronger_since;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/OwnershipOptions.h
+++ b/Source/Core/Node/OwnershipOptions.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Times and bounds of owning a partition, each with where its figure comes from.
+// Times and limits of partition ownership, each with the reason for its value.
 
 #include <chrono>
 #include <cstddef>
@@ -14,41 +14,45 @@
 {
 struct ownership_options
 {
-  // The owner's row is renewed this often; pending counts in it may be 2 s old (the platform's
-  // bound), and watchers notice a dead owner by it. Renewals ride on commits; what they cost is a
-  // feed's answer to each instance.
+  // How often the owner's row is renewed. Pending counts in it may be 2 s old (the platform's
+  // limit), and watchers detect a dead owner by missing renewals. Renewals are written with
+  // commits; their cost is one reply of the feed to each instance.
   common::duration renew_period = std::chrono::milliseconds{500};
-  // An owner that has not renewed its row for this long is replaced: the store may be slow.
+  // An owner that has not renewed its row for this long is replaced. The time is that long because
+  // the store may be slow.
   common::duration silence = std::chrono::milliseconds{3000};
-  // The same once it is silent, or the link to it broken, as well: one renewal missed. Longer than
-  // the scheduler's fresh_word.
+  // The same if the owner is also silent towards this instance, or the link to it is broken: one
+  // renewal was missed. Longer than the scheduler's fresh_word.
   common::duration silence_timeout_unlinked = std::chrono::milliseconds{800};
-  // How long an owner goes on giving orders after it asked the store for its latest success. With
-  // the leases (7.5 s) it covers an outage of 7 s; a new owner waits for both together where it
-  // cannot ask a worker.
+  // How long an owner goes on sending requests to workers, from when it sent its latest successful
+  // commit to the store. Together with the leases (7.5 s) this covers a store outage of 7 s; a new
+  // owner waits for both together where it cannot ask a worker.
   common::duration authority = std::chrono::milliseconds{4500};
-  // Commits are at least this far apart, so that ends share them: 25 a second and partition.
+  // Commits are at least this far apart, so that several ends of runs share one: 25 per second and
+  // partition.
   common::duration commit_spacing = std::chrono::milliseconds{40};
-  // An owner's cost grows with its workers: 350 of them take 0.36 of a core at the grown sites'
-  // load, where most instances have 0.12. An instance leaves a partition to one that may use this
-  // many times its processor: for this long when it has no owner, and it gives its own back once
-  // such a peer has been there for as long as below. A takeover costs half a second, so a peer that
-  // comes and goes is not worth it.
+  // The cost of an owner grows with its workers: 350 of them take 0.36 of a core at the grown
+  // sites' load, where most instances have 0.12. An instance gives way to a peer that may use
+  // `stronger_peer_factor` times its own processor share: it delays its takeover by
+  // `stronger_peer_takeover_delay`, and releases its own partition once such a peer has been
+  // present for `stronger_peer_release_delay`. A takeover costs half a second, so it is not worth
+  // it for a peer that comes and goes.
   double stronger_peer_factor = 1.5;
   common::duration stronger_peer_takeover_delay = std::chrono::milliseconds{1500};
   common::duration stronger_peer_release_delay = std::chrono::milliseconds{1500};
   common::duration retry_pause = std::chrono::milliseconds{200};
-  // An owner that reaches the store only through a peer for this long gives its partition back:
-  // another instance hears of new jobs at once.
+  // An owner that reaches the store only through a peer for this long releases its partition:
+  // another instance learns of new jobs at once.
   common::duration relayed_release_delay = std::chrono::milliseconds{700};
-  // The rows of an ended job stay this long: twice what callers may ask for it (the platform's
-  // status_s), so that a submission repeated late still meets its row.
+  // How long the rows of an ended job are retained: twice as long as callers may query it (the
+  // platform's status_s), so that a late repetition of its submission still finds the row.
   common::duration ended_job_retention = std::chrono::seconds{240};
-  // Rows of one commit; the platform takes 100 entries.
+  // Maximum number of rows in one commit; the platform accepts 100 entries.
   std::size_t max_commit_rows = 90;
 
-  // When an owner whose renewal was seen at `renewed` has surely given its last order: a commit
-  // that extends its authority comes less than a renewal period after its latest renewal.
+  // When an owner whose renewal was observed at `renewed` has certainly sent its last request to a
+  // worker: a commit that extends its authority comes less than a renewal period after its latest
+  // renewal.
   common::time_point requests_end(common::time_point renewed) const
   {
     return renewed + renew_period + authority;
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -15,83 +15,86 @@
 namespace
 {
 constexpr std::chrono::milliseconds k_takeover_timeout{900};
-// A later owner numbers its runs above every number an earlier one can have used: no task is
+// Each owner's run numbers begin above every number that an earlier owner can have used: no task is
 // started this often by one owner.
 constexpr scheduling::run_number k_runs_per_epoch = 1000;
-// After the partition's own rows are read, the workers' entries are waited for this long: they tell
-// where there is room. Who may run something is told by the claims alone.
-constexpr std::chrono::milliseconds k_entries_patience{700};
+// How long a takeover waits for the worker entries after the partition's own rows are read. The
+// entries only show where there is free capacity; which workers may be running something is known
+// from the claims alone.
+constexpr std::chrono::milliseconds k_worker_entries_timeout{700};
 } // namespace
 
-partition_owner::partition_owner(const owner_dependencies& parts, instance_identity self,
+partition_owner::partition_owner(const owner_dependencies& dependencies, instance_identity self,
                                  std::string partition, const ownership_options& options)
-    : m_parts(parts),
+    : m_dependencies(dependencies),
       m_self(std::move(self)),
       m_partition(std::move(partition)),
       m_options(options),
-      m_watch(parts.time, parts.clock, m_self, m_partition, options),
-      m_better_owner(
-          options, parts.path, [this] { return m_parts.spare_millis(m_partition); },
-          parts.strongest_peer),
-      m_earlier(parts.time, m_partition, parts.send_to_peer),
-      m_quiet_since(parts.time.now()),
-      m_step_timer(parts.time)
+      m_watch(dependencies.time, dependencies.clock, m_self, m_partition, options),
+      m_handover_policy(
+          options, dependencies.path, [this] { return m_dependencies.spare_millis(m_partition); },
+          dependencies.strongest_peer_millis),
+      m_previous_requests(dependencies.time, m_partition, dependencies.send_to_peer),
+      m_no_requests_since(dependencies.time.now()),
+      m_pass_timer(dependencies.time)
 {
 }
 
 partition_owner::~partition_owner() = default;
 
-// ---- Who owns the partition
+// ---- Ownership
 
 void partition_owner::owner_row_changed(const adapter::row& row)
 {
-  const auto seen = m_watch.take_in(row);
-  if (!seen)
+  const auto observed = m_watch.update(row);
+  if (!observed)
     return;
-  m_parts.capacities.note_all(seen->largest);
-  if ((m_state == state::owning || m_state == state::loading) && seen->life != m_self.life &&
-      row.version > m_token)
-    lose("the owner's row names another instance");
-  // A write of ours whose answer was lost has come true.
-  // Not so for a row of an ownership that has ended: the feed may be far behind.
-  if (m_state == state::watching && !m_stopping && m_watch.is_unclear_takeover(*seen))
+  m_dependencies.capacities.note_all(observed->largest);
+  if ((m_state == state::owning || m_state == state::loading) &&
+      observed->life != m_self.incarnation && row.version > m_token)
+    end_ownership("the owner's row names another instance");
+  // A takeover of this instance was carried out although its reply was lost. This does not apply to
+  // a row of an ownership that has ended: the feed may be far behind.
+  if (m_state == state::watching && !m_stopping && m_watch.is_unanswered_takeover(*observed))
   {
     adapter::transaction_result result;
     result.end = adapter::store_end::done;
     result.version = row.version;
-    on_acquired(*seen, result);
+    on_acquired(*observed, result);
   }
 }
 
 bool partition_owner::should_take(common::time_point now,
                                   std::optional<common::time_point> feed_healthy_since) const
 {
-  if (!feed_healthy_since || m_stopping || m_parts.queues.version == 0 || m_parts.path.isolated())
+  if (!feed_healthy_since || m_stopping || m_dependencies.queues.version == 0 ||
+      m_dependencies.path.isolated())
     return false;
-  return m_watch.takeover_due(now, *feed_healthy_since, m_better_owner.stronger_peer());
+  return m_watch.takeover_due(now, *feed_healthy_since, m_handover_policy.stronger_peer());
 }
 
 void partition_owner::acquire()
 {
   m_state = state::acquiring;
-  m_takeover_sent = m_parts.time.now();
-  // The write holds only if the row is still the one seen, so the earlier owner's latest renewal is
-  // that one, and was asked for before it was seen.
-  const observed_owner& earlier = m_watch.seen();
-  m_earlier.begin(m_watch, earlier.row.epoch + 1);
+  m_takeover_sent = m_dependencies.time.now();
+  // The write succeeds only if the row is still the observed one. The previous owner's latest
+  // renewal is then the observed one, and was requested before it was observed.
+  const observed_owner& earlier = m_watch.observed();
+  m_previous_requests.begin(m_watch, earlier.row.epoch + 1);
   owner_row row;
   row.holder = m_self.name;
-  row.life = m_self.life;
+  row.life = m_self.incarnation;
   row.epoch = earlier.row.epoch + 1;
-  // What waited may still wait; this instance's own counts come once all jobs are read. They are as
-  // old as they were: owners that are lost one after the other would pass them on for ever.
+  // Jobs that were waiting may still be waiting, so the previous owner's counts are passed on until
+  // this instance has read all jobs. They keep their age: otherwise owners that are lost one after
+  // the other would pass old counts on as new for ever.
   row.pending = earlier.row.pending;
   row.counted_at = earlier.row.counted_at;
   row.waiting_cpu = earlier.row.waiting_cpu;
   row.free_cpu = earlier.row.free_cpu;
-  row.largest = m_parts.capacities.largest();
+  row.largest = m_dependencies.capacities.largest();
   row.labels = earlier.row.labels;
-  row.previous_requests_end = m_parts.clock.latest_store_time(m_earlier.end());
+  row.previous_requests_end = m_dependencies.clock.latest_store_time(m_previous_requests.end());
   adapter::transaction change;
   change.conditions.push_back({owner_key(m_partition), earlier.version});
   change.puts.push_back({owner_key(m_partition), to_row_text(row)});
@@ -99,47 +102,50 @@
                       {{"partition", m_partition},
                        {"from", earlier.row.holder},
                        {"epoch", row.epoch},
-                       {"silent_ms", m_parts.time.now() - earlier.changed_at},
-                       {"earlier_left_ms", earlier_leases_end() - m_parts.time.now()}});
-  m_parts.store.transact(change, k_takeover_timeout,
-                         [this, row](const adapter::transaction_result& result)
-                         {
-                           if (m_state == state::acquiring)
-                             on_acquired(row, result);
-                         });
+                       {"silent_ms", m_dependencies.time.now() - earlier.changed_at},
+                       {"earlier_left_ms", previous_leases_end() - m_dependencies.time.now()}});
+  m_dependencies.store.transact(change, k_takeover_timeout,
+                                [this, row](const adapter::transaction_result& result)
+                                {
+                                  if (m_state == state::acquiring)
+                                    on_acquired(row, result);
+                                });
 }
 
-common::time_point partition_owner::earlier_leases_end() const
+common::time_point partition_owner::previous_leases_end() const
 {
-  if (m_earlier.end() == common::time_point{})
+  if (m_previous_requests.end() == common::time_point{})
     return {};
-  return m_earlier.end() + scheduling::scheduler_options{}.longest_lease();
+  return m_previous_requests.end() + scheduling::scheduler_options{}.longest_lease();
 }
 
 void partition_owner::on_orders_query(const std::string& peer,
                                       const common::orders_question& question)
 {
-  // While this instance takes the partition over, an answer to an earlier takeover may still come.
-  // Whoever has seen the later owner's row never becomes an earlier owner.
+  // An instance that is taking the partition over does not reply: the reply to its own takeover may
+  // still arrive and make it an earlier owner. An instance that has seen the later owner's row
+  // never becomes an earlier owner.
   if (question.partition != m_partition || m_state != state::watching ||
-      m_watch.seen().row.epoch < question.epoch)
+      m_watch.observed().row.epoch < question.epoch)
     return;
-  const auto quiet =
-      std::chrono::floor<std::chrono::milliseconds>(m_parts.time.now() - m_quiet_since);
-  m_parts.send_to_peer(peer, common::orders_reply{m_partition, question.epoch,
-                                                  static_cast<std::uint64_t>(quiet.count())});
+  const auto quiet = std::chrono::floor<std::chrono::milliseconds>(m_dependencies.time.now() -
+                                                                   m_no_requests_since);
+  m_dependencies.send_to_peer(
+      peer,
+      common::orders_reply{m_partition, question.epoch, static_cast<std::uint64_t>(quiet.count())});
 }
 
 void partition_owner::on_orders_reply(const std::string& peer, const common::orders_reply& reply)
 {
-  if (m_earlier.on_reply(peer, reply) && m_scheduler)
-    m_scheduler->bring_earlier_end_forward(earlier_leases_end());
+  if (m_previous_requests.on_reply(peer, reply) && m_scheduler)
+    m_scheduler->bring_earlier_end_forward(previous_leases_end());
 }
 
 void partition_owner::on_acquired(const owner_row& row, const adapter::transaction_result& result)
 {
-  // The answer may be that to a copy of the write, which has met the row that it was to write.
-  const adapter::row* const present = row_in(result.conflicting, k_owners_table);
+  // The reply may be to a second copy of the write, which conflicted with the row that the first
+  // copy wrote.
+  const adapter::row* const present = find_row(result.conflicting, k_owners_table);
   const auto written = present == nullptr ? common::result<owner_row>(common::new_error({}))
                                           : owner_row_from(present->value);
   if (written && written->life == row.life && written->epoch == row.epoch)
@@ -153,9 +159,9 @@
   if (result.end != adapter::store_end::done)
   {
     m_state = state::watching;
-    m_watch.pause(m_options.retry_pause);
+    m_watch.delay_takeover(m_options.retry_pause);
     if (result.end == adapter::store_end::unclear)
-      m_watch.takeover_unclear(row);
+      m_watch.takeover_unanswered(row);
     common::log_process("take_over_failed", {{"partition", m_partition},
                                              {"end", adapter::to_text(result.end)},
                                              {"detail", result.detail}});
@@ -163,11 +169,11 @@
       owner_row_changed(*present);
     return;
   }
-  m_parts.metrics.add(common::counter::takeovers);
+  m_dependencies.metrics.add(common::counter::takeovers);
   m_row = row;
   m_token = result.version;
-  m_earlier.count_again();
-  m_watch.written(row, result.version);
+  m_previous_requests.recompute_end();
+  m_watch.row_written(row, result.version);
   m_last_renewal = m_takeover_sent;
   m_ownership = std::make_shared<int>(0);
   load();
@@ -176,11 +182,12 @@
 void partition_owner::load()
 {
   m_state = state::loading;
-  m_has_told_counts = false;
-  m_intake = std::make_unique<job_intake>(m_parts.time, m_parts.feed_store, m_parts.clock,
-                                          m_partition, m_token, [this] { step_soon(); });
+  m_has_reported_counts = false;
+  m_intake = std::make_unique<job_intake>(m_dependencies.time, m_dependencies.feed_store,
+                                          m_dependencies.clock, m_partition, m_token,
+                                          [this] { schedule_pass(); });
   m_loader = std::make_shared<partition_loader>(
-      m_parts.time, m_parts.store, m_parts.clock, m_partition,
+      m_dependencies.time, m_dependencies.store, m_dependencies.clock, m_partition,
       [this](loaded_partition loaded) { on_loaded(std::move(loaded)); });
   m_loader->start();
 }
@@ -189,18 +196,19 @@
 {
   m_loader.reset();
   m_loaded = std::move(loaded);
-  m_loaded_at = m_parts.time.now();
-  begin_when_known(m_loaded_at);
+  m_loaded_at = m_dependencies.time.now();
+  begin_when_ready(m_loaded_at);
 }
 
 void partition_owner::worker_entries_read()
 {
-  begin_when_known(m_parts.time.now());
+  begin_when_ready(m_dependencies.time.now());
 }
 
-void partition_owner::begin_when_known(common::time_point now)
+void partition_owner::begin_when_ready(common::time_point now)
 {
-  if (!m_loaded || (!m_parts.workers_known() && now - m_loaded_at < k_entries_patience))
+  if (!m_loaded ||
+      (!m_dependencies.worker_entries_known() && now - m_loaded_at < k_worker_entries_timeout))
     return;
   const loaded_partition loaded = *std::exchange(m_loaded, std::nullopt);
   begin_owning(loaded);
@@ -209,27 +217,29 @@
 void partition_owner::begin_owning(const loaded_partition& loaded)
 {
   m_state = state::owning;
-  const common::time_point now = m_parts.time.now();
+  const common::time_point now = m_dependencies.time.now();
   start_commits(loaded);
-  m_sweeper = std::make_unique<row_sweeper>(m_parts.time, m_parts.store, m_partition,
+  m_sweeper = std::make_unique<row_sweeper>(m_dependencies.time, m_dependencies.store, m_partition,
                                             m_options.ended_job_retention);
-  m_sweeper->ended(loaded.ended);
+  m_sweeper->add_ended(loaded.ended);
   scheduling::scheduler_options options;
-  options.share = m_parts.layout.share_of(m_partition);
+  options.share = m_dependencies.layout.share_of(m_partition);
   const auto first_run = static_cast<scheduling::run_number>((m_row.epoch - 1) * k_runs_per_epoch);
-  m_scheduler = std::make_unique<scheduling::job_scheduler>(options, first_run, m_parts.metrics);
+  m_scheduler =
+      std::make_unique<scheduling::job_scheduler>(options, first_run, m_dependencies.metrics);
   m_scheduler->token_given(m_token);
-  // Later owners count from the takeover's row; reading may have taken seconds since.
+  // Later owners count this owner's authority from the takeover's row, so it starts when the
+  // takeover was sent; reading the rows may have taken seconds since.
   m_scheduler->set_authority(m_takeover_sent + m_options.authority, m_takeover_sent);
   m_scheduler->hold_orders();
-  m_scheduler->set_earlier_end(earlier_leases_end());
-  tell_time(now);
+  m_scheduler->set_earlier_end(previous_leases_end());
+  update_wall_clock(now);
   queues_changed();
-  if (!m_earlier.told())
+  if (!m_previous_requests.previous_end_reported())
     m_scheduler->doubt_stated_ends();
   for (const auto& [id, claim] : loaded.claims)
     m_scheduler->restore_claim(id, claim, now);
-  for (const auto& [id, info] : m_parts.worker_entries)
+  for (const auto& [id, info] : m_dependencies.worker_entries)
     worker_entry(info);
   m_intake->begin(*m_scheduler, loaded);
   m_scheduler->begin_accounting(now);
@@ -239,7 +249,7 @@
                                           {"jobs", loaded.jobs.size()},
                                           {"load_ms", now - m_takeover_sent}});
   m_intake->follow_feed();
-  step_soon();
+  schedule_pass();
 }
 
 bool partition_owner::has_labels(const jobs::job_spec& spec) const
@@ -256,8 +266,8 @@
   if (owns())
     m_intake->job_kept(job, version);
   else if (!seen().row.holder.empty())
-    m_parts.send_to_peer(seen().row.holder,
-                         common::job_notice{job.id, jobs::to_row_text(job), version});
+    m_dependencies.send_to_peer(seen().row.holder,
+                                common::job_notice{job.id, jobs::to_row_text(job), version});
 }
 
 void partition_owner::job_cancelled_here(const std::string& id)
@@ -265,7 +275,7 @@
   if (owns())
     m_intake->job_cancelled(id);
   else if (!seen().row.holder.empty())
-    m_parts.send_to_peer(seen().row.holder, common::job_notice{id, {}, 0});
+    m_dependencies.send_to_peer(seen().row.holder, common::job_notice{id, {}, 0});
 }
 
 void partition_owner::on_notice(const common::job_notice& notice)
@@ -276,39 +286,39 @@
 
 std::optional<jobs::job_state> partition_owner::written_state(const std::string& id) const
 {
-  if (!owns() || !m_scheduler->may_act(m_parts.time.now()))
+  if (!owns() || !m_scheduler->may_act(m_dependencies.time.now()))
     return std::nullopt;
   const auto latest = m_scheduler->state_of(id);
   if (!latest)
     return std::nullopt;
-  // The store may say already that the job is active, and tells it to others.
-  if (*latest == jobs::job_state::queued && m_commits->carries(id))
+  // The store may already say that the job is active, and report that to others.
+  if (*latest == jobs::job_state::queued && m_commits->has_in_flight(id))
     return std::nullopt;
-  if (jobs::is_final(*latest) && (m_commits->carries(id) || m_scheduler->unwritten(id)))
+  if (jobs::is_final(*latest) && (m_commits->has_in_flight(id) || m_scheduler->unwritten(id)))
     return jobs::job_state::active;
   return latest;
 }
 
 pending_job_counts partition_owner::pending() const
 {
-  const common::time_point now = m_parts.time.now();
+  const common::time_point now = m_dependencies.time.now();
   if (owns() && m_scheduler->may_act(now))
     return {m_scheduler->load().pending, now - m_intake->known_until()};
-  const owner_row& told = seen().row;
-  if (!told.counted_at)
-    return {told.pending, std::nullopt};
-  return {told.pending, m_parts.clock.age_of(*told.counted_at)};
+  const owner_row& reported = seen().row;
+  if (!reported.counted_at)
+    return {reported.pending, std::nullopt};
+  return {reported.pending, m_dependencies.clock.age_of(*reported.counted_at)};
 }
 
-void partition_owner::lose(const char* why)
+void partition_owner::end_ownership(const char* why)
 {
   common::log_process("partition_lost", {{"partition", m_partition},
                                          {"why", why},
                                          {"epoch", m_row.epoch},
                                          {"token", m_token},
                                          {"holder", seen().row.holder}});
-  m_parts.metrics.add(common::counter::owner_lost);
-  scheduling::publish({}, m_parts.metrics);
+  m_dependencies.metrics.add(common::counter::owner_lost);
+  scheduling::publish({}, m_dependencies.metrics);
   if (m_loader)
     m_loader->abandon();
   m_loader.reset();
@@ -318,23 +328,23 @@
   m_scheduler.reset();
   m_commits.reset();
   m_sweeper.reset();
-  m_step_timer.cancel();
-  m_step_due = false;
+  m_pass_timer.cancel();
+  m_pass_scheduled = false;
   m_releasing = false;
-  m_better_owner.reset();
+  m_handover_policy.reset();
   m_state = state::watching;
-  m_quiet_since = m_parts.time.now();
-  m_watch.pause(m_options.silence);
+  m_no_requests_since = m_dependencies.time.now();
+  m_watch.delay_takeover(m_options.silence);
 }
 
-// ---- What workers and callers bring
+// ---- Events from workers, callers and the store
 
 void partition_owner::worker_entry(const scheduling::worker_info& info)
 {
-  if (!owns() || m_parts.layout.partition_of_worker(info.address) != m_partition)
+  if (!owns() || m_dependencies.layout.partition_of_worker(info.address) != m_partition)
     return;
-  m_scheduler->worker_entry(info, m_parts.time.now());
-  step_soon();
+  m_scheduler->worker_entry(info, m_dependencies.time.now());
+  schedule_pass();
 }
 
 void partition_owner::worker_entry_invalid(const common::worker_id& id)
@@ -342,15 +352,15 @@
   if (!owns())
     return;
   m_scheduler->worker_entry_invalid(id);
-  step_soon();
+  schedule_pass();
 }
 
 void partition_owner::worker_entry_gone(const common::worker_id& id)
 {
   if (!owns())
     return;
-  m_scheduler->worker_entry_gone(id, m_parts.time.now());
-  step_soon();
+  m_scheduler->worker_entry_gone(id, m_dependencies.time.now());
+  schedule_pass();
 }
 
 void partition_owner::queues_changed()
@@ -358,10 +368,10 @@
   if (!owns())
     return;
   std::map<std::string, jobs::queue_policy> policies;
-  for (const jobs::queue_route& route : m_parts.queues.routes)
+  for (const jobs::queue_route& route : m_dependencies.queues.routes)
     policies[route.name] = route.policy;
   m_scheduler->set_policies(std::move(policies));
-  step_soon();
+  schedule_pass();
 }
 
 void partition_owner::on_store_reachable()
@@ -378,55 +388,56 @@
   if (m_state == state::watching && should_take(now, feed_healthy_since))
     acquire();
   if (m_state == state::owning || m_state == state::loading)
-    m_earlier.tick();
-  begin_when_known(now);
+    m_previous_requests.tick();
+  begin_when_ready(now);
   if (m_state != state::owning)
     return;
-  m_sweeper->ended(m_scheduler->take_ended());
+  m_sweeper->add_ended(m_scheduler->take_ended());
   m_sweeper->tick();
-  if (now - m_last_step >= m_scheduler->pass_spacing())
-    step();
+  if (now - m_last_pass >= m_scheduler->pass_spacing())
+    run_pass();
 }
 
-void partition_owner::step_soon()
+void partition_owner::schedule_pass()
 {
-  if (m_step_due || !m_scheduler)
+  if (m_pass_scheduled || !m_scheduler)
     return;
-  m_step_due = true;
-  // Events that come until then are worked off by the same pass.
-  m_step_timer.start(m_scheduler->pass_spacing(),
+  m_pass_scheduled = true;
+  // Events that arrive before then are handled by the same pass.
+  m_pass_timer.start(m_scheduler->pass_spacing(),
                      [this]
                      {
-                       m_step_due = false;
-                       step();
+                       m_pass_scheduled = false;
+                       run_pass();
                      });
 }
 
-void partition_owner::tell_time(common::time_point now)
+void partition_owner::update_wall_clock(common::time_point now)
 {
-  m_scheduler->set_wall_clock(m_parts.time.wall(), now);
+  m_scheduler->set_wall_clock(m_dependencies.time.wall(), now);
 }
 
-void partition_owner::step()
+void partition_owner::run_pass()
 {
   if (!owns())
     return;
-  const common::time_point now = m_parts.time.now();
-  m_last_step = now;
-  tell_time(now);
-  m_scheduler->set_advice_slots(m_parts.advice.slots(now));
-  m_scheduler->set_order_times(m_parts.workers.order_patience(), m_parts.workers.round_trip());
-  m_scheduler->set_loop_lateness(m_parts.loop.latest());
+  const common::time_point now = m_dependencies.time.now();
+  m_last_pass = now;
+  update_wall_clock(now);
+  m_scheduler->set_advice_slots(m_dependencies.advice.slots(now));
+  m_scheduler->set_order_times(m_dependencies.workers.order_patience(),
+                               m_dependencies.workers.round_trip());
+  m_scheduler->set_loop_lateness(m_dependencies.loop.latest());
   m_scheduler->tick(now);
   for (const scheduling::command& each : m_scheduler->take_commands())
-    carry_out(each);
+    execute(each);
   if (m_scheduler->fenced())
   {
-    lose("a worker obeys a later owner");
+    end_ownership("a worker obeys a later owner");
     return;
   }
-  pump_commits(now);
-  m_parts.metrics.record(common::timing::decision, m_parts.time.now() - now);
+  commit_if_due(now);
+  m_dependencies.metrics.record(common::timing::decision, m_dependencies.time.now() - now);
 }
 
 template<class answer_type>
@@ -437,35 +448,35 @@
   {
     if (alive.expired() || !m_scheduler)
       return;
-    (m_scheduler.get()->*handle)(answer, m_parts.time.now());
-    step_soon();
+    (m_scheduler.get()->*handle)(answer, m_dependencies.time.now());
+    schedule_pass();
   };
 }
 
-void partition_owner::carry_out(const scheduling::command& what)
+void partition_owner::execute(const scheduling::command& command)
 {
   using scheduling::job_scheduler;
   static constexpr std::array<std::optional<common::counter>,
                               std::variant_size_v<scheduling::command>>
       k_counters{common::counter::starts_sent, common::counter::stops_sent,
                  common::counter::holds_sent};
-  if (const auto counted = k_counters.at(what.index()))
-    m_parts.metrics.add(*counted);
-  const common::time_point now = m_parts.time.now();
-  if (const auto* start = std::get_if<scheduling::start_command>(&what))
-    m_parts.workers.start(*start, now,
-                          while_owner<scheduling::start_answer>(&job_scheduler::start_answered));
-  else if (const auto* stop = std::get_if<scheduling::stop_command>(&what))
-    m_parts.workers.stop(*stop, now,
-                         while_owner<scheduling::stop_answer>(&job_scheduler::stop_answered));
-  else if (const auto* hold = std::get_if<scheduling::hold_command>(&what))
-    m_parts.workers.hold(*hold, now,
-                         while_owner<scheduling::hold_answer>(&job_scheduler::hold_answered));
-  else if (const auto* pace = std::get_if<scheduling::pace_command>(&what))
-    m_parts.workers.pace(*pace);
-  else if (const auto* advice = std::get_if<scheduling::advice_command>(&what))
-    m_parts.advice.ask(*advice,
-                       while_owner<scheduling::advice_answer>(&job_scheduler::advice_answered));
+  if (const auto counted = k_counters.at(command.index()))
+    m_dependencies.metrics.add(*counted);
+  const common::time_point now = m_dependencies.time.now();
+  if (const auto* start = std::get_if<scheduling::start_command>(&command))
+    m_dependencies.workers.start(
+        *start, now, while_owner<scheduling::start_answer>(&job_scheduler::start_answered));
+  else if (const auto* stop = std::get_if<scheduling::stop_command>(&command))
+    m_dependencies.workers.stop(
+        *stop, now, while_owner<scheduling::stop_answer>(&job_scheduler::stop_answered));
+  else if (const auto* hold = std::get_if<scheduling::hold_command>(&command))
+    m_dependencies.workers.hold(
+        *hold, now, while_owner<scheduling::hold_answer>(&job_scheduler::hold_answered));
+  else if (const auto* pace = std::get_if<scheduling::pace_command>(&command))
+    m_dependencies.workers.pace(*pace);
+  else if (const auto* advice = std::get_if<scheduling::advice_command>(&command))
+    m_dependencies.advice.ask(
+        *advice, while_owner<scheduling::advice_answer>(&job_scheduler::advice_answered));
 }
 
 void partition_owner::hand_over()
--- a/Source/Core/Node/PartitionOwner.h
+++ b/Source/Core/Node/PartitionOwner.h
@@ -3,12 +3,13 @@
 
 #pragma once
 
-// One instance's part in one partition: watches its owner, takes it over when the owner is silent,
-// and while it is the owner runs the partition's scheduler and writes down what it decides.
+// One instance's role in one partition. The instance watches the partition's owner and takes the
+// partition over when the owner is silent. While it is the owner, it runs the partition's scheduler
+// and commits the scheduler's decisions to the store.
 //
-// The store alone says who owns a partition, by a conditional write of the owner's row. The row's
-// version at that write is the fencing token. Every later write of the owner holds only as long as
-// the row is still its own, and as long as no other write came in between.
+// Only the store decides who owns a partition, by a conditional write of the owner's row. The row's
+// version after that write is the fencing token. Every later write of the owner is conditional on
+// the row still being its own and on no other write in between.
 
 #include <functional>
 #include <memory>
@@ -35,90 +36,93 @@
 
 namespace yardhill::node
 {
-// What the owners of all partitions share with their process.
+// Objects of the process that the owners of all partitions share.
 struct owner_dependencies
 {
   common::timekeeper& time;
   adapter::store_client& store;
-  adapter::store_client& feed_store; // for feeds: directly, never through a peer
+  adapter::store_client& feed_store; // for feeds: sends calls directly, never through a peer
   const store_path& path;
   const store_clock& clock;
   adapter::worker_client& workers;
   advice_pool& advice;
   common::metrics& metrics;
   std::function<void(const std::string& peer, const common::peer_message&)> send_to_peer;
-  // Known workers and queues, as the feeds have them.
+  // The known workers; like `queues` below, kept up to date by a feed.
   const std::map<std::string, scheduling::worker_info>& worker_entries;
-  // Whether all entries have been read since this instance began to take a partition over.
-  std::function<bool()> workers_known;
+  // Whether all worker entries have been read since this instance began to take a partition over.
+  std::function<bool()> worker_entries_known;
   seen_capacities& capacities;
   const loop_monitor& loop;
   const jobs::queue_table& queues;
-  // How the cell is divided. It outlives the owners.
+  // How the cell is divided into partitions. It outlives the owners.
   const cell_layout& layout;
-  // How much processor this instance may use for that partition beside others that it owns, and the
-  // most that a peer may use for one more.
+  // The processor share, in thousandths of a core, that this instance may use for the given
+  // partition beside others that it owns, and the largest share that a peer may use for one more
+  // partition.
   std::function<std::uint32_t(const std::string& partition)> spare_millis;
-  std::function<std::uint32_t()> strongest_peer;
+  std::function<std::uint32_t()> strongest_peer_millis;
 };
 
-// The accepted jobs of a partition that have not begun, by queue, and the age of that knowledge.
+// The accepted jobs of a partition that have not begun, by queue, and the age of these counts.
 struct pending_job_counts
 {
   std::map<std::string, std::uint64_t> jobs;
-  std::optional<common::duration> age; // none: it is not known how old it is
+  std::optional<common::duration> age; // none: unknown
 };
 
 class partition_owner
 {
 public:
-  partition_owner(const owner_dependencies& parts, instance_identity self, std::string partition,
-                  const ownership_options& options);
+  partition_owner(const owner_dependencies& dependencies, instance_identity self,
+                  std::string partition, const ownership_options& options);
   ~partition_owner();
   partition_owner(const partition_owner&) = delete;
   partition_owner& operator=(const partition_owner&) = delete;
 
   const std::string& partition() const { return m_partition; }
   bool owns() const { return m_state == state::owning; }
-  const observed_owner& seen() const { return m_watch.seen(); }
+  const observed_owner& seen() const { return m_watch.observed(); }
 
-  // Whether some of its workers have what the job's steps require, as its owner told.
+  // Whether each label that the job's steps require is present on some worker of the partition, as
+  // its owner reported.
   bool has_labels(const jobs::job_spec& spec) const;
 
   void owner_row_changed(const adapter::row& row);
-  // Whether it owns its partition or is about to.
+  // Whether this instance owns the partition or is taking it over.
   bool needs_worker_entries() const { return m_state != state::watching; }
-  // All workers' entries have been read.
+  // To be called when all worker entries have been read.
   void worker_entries_read();
-  // The link to that instance has come up or has broken.
+  // The link to that instance has come up (`linked`) or has broken.
   void peer_link_changed(const std::string& peer, bool linked)
   {
     m_watch.peer_link_changed(peer, linked);
   }
   void worker_entry(const scheduling::worker_info& info);
-  // The entry that is there now is not valid.
+  // The worker's present entry is not valid.
   void worker_entry_invalid(const common::worker_id& id);
   void worker_entry_gone(const common::worker_id& id);
   void queues_changed();
-  // The store is back after a silence.
+  // To be called when the store answers again after a silence.
   void on_store_reachable();
-  // A job that has just been kept or cancelled. Another instance that owns the partition is told,
-  // so that nobody need wait for the feed.
+  // This instance has stored a job, or the cancellation of one. If another instance owns the
+  // partition, it is notified, so that nobody need wait for the feed.
   void job_accepted_here(const jobs::accepted_job& job, adapter::row_version version);
   void job_cancelled_here(const std::string& id);
   void on_notice(const common::job_notice& notice);
-  // A later owner asks whether this instance still gives orders; the answer to such a question.
+  // A later owner's query whether this instance still sends requests to workers, and the reply to
+  // such a query.
   void on_orders_query(const std::string& peer, const common::orders_question& question);
   void on_orders_reply(const std::string& peer, const common::orders_reply& reply);
-  // What is written of a job here; nothing if this instance does not own it or does not know it, or
-  // while the store may know more.
+  // The committed state of a job, as far as this instance knows it; none if it does not own the
+  // partition or does not know the job, or while the store may have a newer state.
   std::optional<jobs::job_state> written_state(const std::string& id) const;
-  // As its owner told in its row; if that is this instance, as it knows itself.
+  // The counts in the owner's row; if this instance is the owner, its own present counts.
   pending_job_counts pending() const;
 
-  // Called often. `feed_healthy_since`: of the owners' feed.
+  // Called often. `feed_healthy_since`: since when the feed of the owners' table has been healthy.
   void tick(common::time_point now, std::optional<common::time_point> feed_healthy_since);
-  // Planned stop: gives the partition back once everything is written.
+  // For a planned stop: releases the partition once everything is committed.
   void hand_over();
   bool handed_over() const;
 
@@ -134,51 +138,55 @@
   bool should_take(common::time_point now,
                    std::optional<common::time_point> feed_healthy_since) const;
   void acquire();
-  // When all orders of earlier owners are over, and the leases that they gave.
-  common::time_point earlier_leases_end() const;
+  // When the requests of all previous owners to workers, and the leases that those owners granted,
+  // have ended.
+  common::time_point previous_leases_end() const;
   void on_acquired(const owner_row& row, const adapter::transaction_result& result);
   void load();
   void on_loaded(loaded_partition loaded);
-  // Once the partition's rows have been read, and the workers' entries or some time has passed.
-  void begin_when_known(common::time_point now);
+  // Begins the ownership once the partition's rows have been read, and the worker entries have been
+  // read as well or k_worker_entries_timeout has passed.
+  void begin_when_ready(common::time_point now);
   void begin_owning(const loaded_partition& loaded);
   void start_commits(const loaded_partition& loaded);
-  void pump_commits(common::time_point now);
+  void commit_if_due(common::time_point now);
   void on_written(const written_commit& commit);
   void on_replaced(const adapter::row& owner);
-  void lose(const char* why);
+  void end_ownership(const char* why);
 
-  void tell_time(common::time_point now);
-  void step_soon();
-  void step();
-  void carry_out(const scheduling::command& what);
+  void update_wall_clock(common::time_point now);
+  void schedule_pass();
+  void run_pass();
+  void execute(const scheduling::command& command);
   // Wraps a callback so that it does nothing once this ownership has ended.
   template<class answer_type>
   std::function<void(answer_type)>
   while_owner(void (scheduling::job_scheduler::*handle)(const answer_type&, common::time_point));
   // The owner's row to be written next; a release names no holder.
   owner_row next_row(bool release);
-  // Whether this owner has come to know all that waits and nobody else has seen its counts yet: the
-  // earlier owner's are old by then, so the row is renewed at once.
-  bool counts_due() const;
+  // Whether this owner knows all waiting jobs but has not reported their counts yet. The counts of
+  // the previous owner in the row are old by then, so the row is renewed at once.
+  bool job_counts_due() const;
 
-  owner_dependencies m_parts;
+  owner_dependencies m_dependencies;
   instance_identity m_self;
   std::string m_partition;
   ownership_options m_options;
   state m_state = state::watching;
   owner_watch m_watch;
-  handover_policy m_better_owner;
-  previous_owner_requests m_earlier;
-  common::time_point m_quiet_since; // this process has given no orders, unless it is the owner
+  handover_policy m_handover_policy;
+  previous_owner_requests m_previous_requests;
+  // Since when this process has sent no requests to workers; not valid while it is the owner.
+  common::time_point m_no_requests_since;
   bool m_stopping = false;
-  bool m_releasing = false; // this ownership is given back once everything is written
+  bool m_releasing = false; // the partition is released once everything is committed
 
-  // Of the present ownership.
-  std::shared_ptr<int> m_ownership; // replaced with each; callbacks hold it weakly
+  // State of the present ownership.
+  // A new object for each ownership; callbacks hold it weakly.
+  std::shared_ptr<int> m_ownership;
   std::unique_ptr<scheduling::job_scheduler> m_scheduler;
   std::shared_ptr<partition_loader> m_loader;
-  std::optional<loaded_partition> m_loaded; // the workers' entries are still to come
+  std::optional<loaded_partition> m_loaded; // set while the worker entries are awaited
   common::time_point m_loaded_at{};
   std::unique_ptr<job_intake> m_intake; // uses the scheduler
   scheduling::fencing_token m_token = 0;
@@ -189,9 +197,9 @@
   common::time_point m_last_commit{};
   common::time_point m_last_written{};
   common::time_point m_last_renewal{};
-  bool m_has_told_counts = false;
-  common::one_shot_timer m_step_timer;
-  bool m_step_due = false;
-  common::time_point m_last_step{};
+  bool m_has_reported_counts = false;
+  common::one_shot_timer m_pass_timer;
+  bool m_pass_scheduled = false;
+  common::time_point m_last_pass{};
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/PreviousOwnerRequests.h
+++ b/Source/Core/Node/PreviousOwnerRequests.h
@@ -3,9 +3,10 @@
 
 #pragma once
 
-// When the orders of a partition's earlier owners are over, for the one that has taken it over. It
-// follows from their silence only after seconds; the earlier owner's instance, or the process that
-// is there in its place, may know better. No I/O.
+// Determines when the requests of a partition's previous owners to workers have ended, for the
+// instance that has taken the partition over. From the silence of those owners this follows only
+// after seconds; the instance of the latest one, or the process that has replaced it there, is
+// queried because it may know an earlier time. No I/O.
 
 #include <cstdint>
 #include <functional>
@@ -26,32 +27,34 @@
   previous_owner_requests(const common::timekeeper& time, std::string partition,
                           sender send_to_peer);
 
-  // The partition is being taken over from the owner that `watch` has seen, as the owner `epoch`.
+  // Begins a takeover of the partition from the owner that `watch` has observed; `epoch` is that of
+  // the new ownership.
   void begin(const owner_watch& watch, std::uint64_t epoch);
-  // The takeover's answer has told the store's clock: what the earlier owner has written of those
-  // before it counts now. A new process knows no more of them than that.
-  void count_again();
-  // None of their orders is given later; the beginning of time if there were no owners.
+  // Computes the end again when the takeover's reply has set the store clock: only now can the end
+  // that the previous owner wrote for the owners before it be converted. A process that has just
+  // started knows no more of them than that.
+  void recompute_end();
+  // No request of theirs is sent later than this; time_point{} if there were no owners.
   common::time_point end() const { return m_end; }
-  // Whether the owner that was taken over from said when those before it were over, as owners of
-  // this version do.
-  bool told() const { return m_told; }
-  // Asks the earlier owner's instance, while that may help. Called often, as long as this is the
-  // owner.
+  // Whether the previous owner's row says when the requests of the owners before it ended, as
+  // owners of this software version report it.
+  bool previous_end_reported() const { return m_previous_end_reported; }
+  // Queries the previous owner's instance while its reply may help. Called often, as long as this
+  // instance is the owner.
   void tick();
-  // Whether the end is earlier than it was.
+  // Returns whether the end is now earlier than before.
   bool on_reply(const std::string& peer, const common::orders_reply& reply);
 
 private:
   const common::timekeeper& m_time;
   std::string m_partition;
   sender m_send_to_peer;
-  std::optional<owner_watch> m_before; // as it was when the takeover began
-  std::string m_instance;              // to be asked; empty: nobody
+  std::optional<owner_watch> m_watch; // as it was when the takeover began
+  std::string m_instance;             // to be queried; empty: none
   std::uint64_t m_epoch = 0;
-  bool m_told = false;
+  bool m_previous_end_reported = false;
   common::time_point m_end{};
-  common::time_point m_end_of_others{}; // of the owners before the latest
-  common::time_point m_last_asked{};
+  common::time_point m_earlier_owners_end{}; // of the owners before the previous one
+  common::time_point m_last_query{};
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/RowSweeper.cpp
+++ b/Source/Core/Node/RowSweeper.cpp
@@ -12,41 +12,42 @@
 namespace
 {
 constexpr std::chrono::milliseconds k_remove_timeout{900};
-// Sweeping is in no hurry: while the store is away it is tried this often.
-constexpr std::chrono::seconds k_retry{5};
-// Two rows a job, of the 100 entries that a transaction may have.
-constexpr std::size_t k_most_jobs = 45;
+// Removal is not urgent: while the store is unavailable, it is attempted at this interval.
+constexpr std::chrono::seconds k_retry_interval{5};
+// Two rows per job, of the 100 entries that a transaction may have.
+constexpr std::size_t k_max_jobs = 45;
 } // namespace
 
 row_sweeper::row_sweeper(common::timekeeper& time, adapter::store_client& store,
-                         std::string partition, common::duration keep)
+                         std::string partition, common::duration retention)
     : m_time(time),
       m_store(store),
       m_partition(std::move(partition)),
-      m_keep(keep),
+      m_retention(retention),
       m_alive(std::make_shared<int>(0))
 {
 }
 
 row_sweeper::~row_sweeper() = default;
 
-void row_sweeper::ended(const std::vector<std::string>& ids)
+void row_sweeper::add_ended(const std::vector<std::string>& ids)
 {
   for (const std::string& id : ids)
     m_ended.emplace_back(m_time.now(), id);
 }
 
-// The rows of one part go together, since a transaction over several parts takes twice as long.
+// Removes rows of one part together, since a transaction over several parts takes twice as long.
 void row_sweeper::tick()
 {
   const common::time_point now = m_time.now();
-  if (m_busy || now < m_try_after || m_ended.empty() || now - m_ended.front().first < m_keep)
+  if (m_busy || now < m_next_attempt || m_ended.empty() ||
+      now - m_ended.front().first < m_retention)
     return;
   const std::string part = job_part(m_ended.front().second);
   std::vector<std::string> ids;
-  for (auto each = m_ended.begin(); each != m_ended.end() && now - each->first >= m_keep;)
+  for (auto each = m_ended.begin(); each != m_ended.end() && now - each->first >= m_retention;)
   {
-    if (ids.size() == k_most_jobs || job_part(each->second) != part)
+    if (ids.size() == k_max_jobs || job_part(each->second) != part)
     {
       ++each;
       continue;
@@ -73,7 +74,7 @@
   adapter::transaction change;
   for (const std::string& id : ids)
     change.removals.push_back({k_progress_table, m_partition, id});
-  send(std::move(change), ids, &row_sweeper::swept);
+  send(std::move(change), ids, &row_sweeper::on_removed);
 }
 
 void row_sweeper::send(adapter::transaction change, const std::vector<std::string>& ids,
@@ -92,13 +93,13 @@
                        return;
                      }
                      m_busy = false;
-                     m_try_after = m_time.now() + k_retry;
+                     m_next_attempt = m_time.now() + k_retry_interval;
                      for (const std::string& id : ids)
-                       m_ended.emplace_front(m_time.now() - m_keep, id);
+                       m_ended.emplace_front(m_time.now() - m_retention, id);
                    });
 }
 
-void row_sweeper::swept(const std::vector<std::string>& ids)
+void row_sweeper::on_removed(const std::vector<std::string>& ids)
 {
   m_busy = false;
   common::log_process("rows_removed", {{"partition", m_partition}, {"jobs", ids.size()}});
--- a/Source/UnitTests/Node/AuthorityTest.cpp
+++ b/Source/UnitTests/Node/AuthorityTest.cpp
@@ -1,9 +1,10 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Found by reading: a later owner counts the end of an owner's orders from its latest renewal. A
-// commit without a renewal that was written at its second try, seconds after that, let the owner
-// order for its whole authority from then on, longer than the later owner waited.
+// Guards against an owner that sends requests for longer than a later owner waits. A later owner
+// counts the end of an owner's requests from its latest renewal. A commit without a renewal,
+// written at its second attempt seconds after that renewal, extended the owner's authority in full
+// from then on.
 
 #include <boost/test/unit_test.hpp>
 
@@ -30,7 +31,8 @@
 
 BOOST_AUTO_TEST_SUITE(AuthorityTest)
 
-BOOST_FIXTURE_TEST_CASE(a_late_commit_without_a_renewal_gives_no_longer_authority, owner_under_test)
+BOOST_FIXTURE_TEST_CASE(a_late_commit_without_a_renewal_does_not_extend_the_authority,
+                        owner_under_test)
 {
   pass(seconds{2});
   owner.on_notice({k_job, jobs::to_row_text(some_job(k_job)), 1000});
--- a/Source/UnitTests/Node/CommitWriterTest.cpp
+++ b/Source/UnitTests/Node/CommitWriterTest.cpp
@@ -12,7 +12,7 @@
 
 namespace
 {
-// The store's model; the test may swallow answers.
+// A store model whose replies a test may drop.
 struct lossy_store : http::request_sender
 {
   explicit lossy_store(model::virtual_time& time) : store(time) {}
@@ -39,7 +39,7 @@
   adapter::store_client client{wire, metrics};
   int written = 0;
   int replaced = 0;
-  common::time_point word{}; // that the latest commit gives
+  common::time_point latest_sent{}; // when the latest commit was sent
   node::store_clock clock{time};
   node::commit_writer writer{time,
                              client,
@@ -50,7 +50,7 @@
                              {[this](const node::written_commit& commit)
                               {
                                 ++written;
-                                word = commit.sent;
+                                latest_sent = commit.sent;
                               },
                               [this](const adapter::row&) { ++replaced; }}};
 
@@ -91,7 +91,7 @@
 {
   wire.lose_answers = true;
   write();
-  BOOST_TEST(writer.carries("job"));
+  BOOST_TEST(writer.has_in_flight("job"));
   wire.lose_answers = false;
   time.run_until(time.now() + milliseconds{300});
   BOOST_TEST(written == 1);
@@ -99,8 +99,9 @@
   BOOST_TEST(wire.calls == 2);
 }
 
-// Others count this ownership from the copy that was done; what is sent later finds only that.
-BOOST_FIXTURE_TEST_CASE(a_commit_found_done_is_a_word_as_old_as_its_first_copy, writer_under_test)
+// Other instances count this ownership from the copy that was carried out; a later copy only finds
+// it done.
+BOOST_FIXTURE_TEST_CASE(a_commit_found_done_counts_from_its_first_copy, writer_under_test)
 {
   const auto first = time.now();
   wire.lose_answers = true;
@@ -108,11 +109,12 @@
   wire.lose_answers = false;
   time.run_until(time.now() + milliseconds{300});
   BOOST_TEST_REQUIRE(written == 1);
-  BOOST_TEST((word == first));
+  BOOST_TEST((latest_sent == first));
 }
 
-// A copy was done, and then somebody took over: the answer must not count as a word for this owner.
-BOOST_FIXTURE_TEST_CASE(a_commit_found_done_is_no_word_for_an_owner_replaced_since,
+// A copy was carried out, and then another instance took over: the reply must not confirm this
+// ownership.
+BOOST_FIXTURE_TEST_CASE(a_commit_found_done_does_not_confirm_an_owner_replaced_since,
                         writer_under_test)
 {
   wire.lose_answers = true;
--- a/Source/UnitTests/Node/OwnerHarness.h
+++ b/Source/UnitTests/Node/OwnerHarness.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// One instance's part in a partition under test, on the store's model in virtual time.
+// A partition owner under test, on the store model in virtual time.
 
 #include <map>
 #include <memory>
@@ -21,7 +21,7 @@
 
 inline constexpr const char* k_partition = "cell";
 
-// The store's model, after a millisecond; the test may swallow answers or turn calls away.
+// A store model with a latency of a millisecond; a test may drop replies or reject calls.
 struct store_wire : http::request_sender
 {
   explicit store_wire(model::virtual_time& clock) : time(clock), store(clock) {}
@@ -48,11 +48,11 @@
   model::virtual_time& time;
   model::store_model store;
   bool lose_answers = false;
-  bool turn_away = false; // writes, without having done them
+  bool turn_away = false; // rejects writes without carrying them out
   unsigned calls = 0;
 };
 
-// Nobody answers: there are no workers, and the direct way to the store is bad when it is tried.
+// No call is answered: there are no workers, and direct calls to the store fail.
 struct silent_wire : http::peer_sender
 {
   void send(const common::endpoint&, http::request, common::duration,
@@ -118,7 +118,7 @@
             [this] { return strongest_peer; }};
   }
 
-  // An instance beside the owner above, which is left alone then.
+  // Another instance beside the owner above, which is then left unused.
   std::unique_ptr<partition_owner> another(const instance_identity& who)
   {
     return std::make_unique<partition_owner>(parts(), who, k_partition, ownership_options{});
--- a/Source/UnitTests/Node/OwnerWatchTest.cpp
+++ b/Source/UnitTests/Node/OwnerWatchTest.cpp
@@ -28,7 +28,7 @@
     row.life = life;
     row.epoch = epoch;
     row.renewal = renewal;
-    watch.take_in({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), version});
+    watch.update({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), version});
   }
 
   bool due(bool stronger_peer = false) const
@@ -48,12 +48,13 @@
   BOOST_TEST(due());
 }
 
-// Grown, quiet-1: an instance of 0.12 core took the partition first, and 86 % of the jobs failed.
+// Guards against a weak instance that takes the partition first (Grown, quiet-1): an instance of
+// 0.12 core took it, and 86 % of the jobs failed.
 BOOST_FIXTURE_TEST_CASE(a_partition_without_an_owner_is_left_to_a_stronger_instance, watched_owner)
 {
   BOOST_TEST(!due(true));
   pass(options.stronger_peer_takeover_delay);
-  BOOST_TEST(due(true)); // it does not take it
+  BOOST_TEST(due(true)); // the stronger instance did not take it
   see("", "life-2", 5);
   BOOST_TEST(!due(true));
 }
@@ -82,7 +83,7 @@
   BOOST_TEST(due());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_renewal_gives_time_anew, watched_owner)
+BOOST_FIXTURE_TEST_CASE(a_renewal_restarts_the_timeout, watched_owner)
 {
   see("instance-2", "life-2", 5);
   watch.peer_link_changed("instance-2", false);
@@ -92,30 +93,30 @@
   BOOST_TEST(!due());
 }
 
-BOOST_FIXTURE_TEST_CASE(an_earlier_process_of_this_instance_has_ended, watched_owner)
+BOOST_FIXTURE_TEST_CASE(a_previous_process_of_this_instance_sends_no_requests, watched_owner)
 {
   see("instance-1", "life-0", 5);
   BOOST_TEST(due());
-  BOOST_TEST((watch.requests_end() == watch.seen().changed_at));
+  BOOST_TEST((watch.requests_end() == watch.observed().changed_at));
 }
 
-// The one before it may be frozen, or cut off from the store, and go on with its orders.
-BOOST_FIXTURE_TEST_CASE(the_owner_before_an_earlier_process_of_this_instance_may_still_order,
-                        watched_owner)
+// The owner before that process may be frozen or cut off from the store, and go on sending requests
+// to workers.
+BOOST_FIXTURE_TEST_CASE(the_owner_before_a_previous_process_may_still_send_requests, watched_owner)
 {
   see("instance-1", "life-0", 5, 2, 0);
-  BOOST_TEST((watch.requests_end() == options.requests_end(watch.seen().changed_at)));
+  BOOST_TEST((watch.requests_end() == options.requests_end(watch.observed().changed_at)));
   see("instance-1", "life-0", 6, 2, 7);
   BOOST_TEST((watch.requests_end() ==
-              options.requests_end(watch.seen().changed_at) - 4 * options.renew_period));
+              options.requests_end(watch.observed().changed_at) - 4 * options.renew_period));
   see("instance-1", "life-0", 7, 2, 100); // 49 s
-  BOOST_TEST((watch.requests_end() == watch.seen().changed_at));
+  BOOST_TEST((watch.requests_end() == watch.observed().changed_at));
 }
 
-// Owners were lost every tenth of a second, and each successor counted 5 s anew for one that had
-// not ordered anything yet: tasks on lost workers waited as long as the series lasted and 12.5 s
-// more.
-BOOST_FIXTURE_TEST_CASE(an_owner_that_never_renewed_has_given_no_orders, watched_owner)
+// Guards against waits that add up when owners are lost in series: owners were lost every tenth of
+// a second, and each successor counted 5 s anew for an owner that had not sent any request yet.
+// Tasks on lost workers waited as long as the series lasted and 12.5 s more.
+BOOST_FIXTURE_TEST_CASE(an_owner_that_never_renewed_has_sent_no_requests, watched_owner)
 {
   const adapter::store_time shown{milliseconds{500000}};
   clock.heard(shown, time.now());
@@ -124,15 +125,15 @@
   row.life = "life-2";
   row.epoch = 3;
   row.previous_requests_end = shown + milliseconds{700};
-  watch.take_in({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 5});
+  watch.update({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 5});
   BOOST_TEST((watch.requests_end() >= time.now() + milliseconds{700}));
   BOOST_TEST((watch.requests_end() <= time.now() + milliseconds{702}));
   row.renewal = 1;
-  watch.take_in({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 6});
-  BOOST_TEST((watch.requests_end() == options.requests_end(watch.seen().changed_at)));
+  watch.update({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 6});
+  BOOST_TEST((watch.requests_end() == options.requests_end(watch.observed().changed_at)));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_gave_the_partition_back_is_remembered, watched_owner)
+BOOST_FIXTURE_TEST_CASE(an_owner_that_released_the_partition_is_remembered, watched_owner)
 {
   see("instance-2", "life-2", 5);
   see("", "life-2", 6);
@@ -141,24 +142,24 @@
   BOOST_TEST(watch.instance().empty());
 }
 
-// A commit without a renewal extends an owner's authority, but others see renewals alone.
-BOOST_FIXTURE_TEST_CASE(an_owner_may_give_orders_for_its_authority_after_its_last_commit,
-                        watched_owner)
+// A commit without a renewal extends an owner's authority, but other instances see only the
+// renewals.
+BOOST_FIXTURE_TEST_CASE(an_owner_may_send_requests_until_its_authority_ends, watched_owner)
 {
   see("instance-2", "life-2", 5);
-  BOOST_TEST(
-      (watch.requests_end() >= watch.seen().changed_at + options.renew_period + options.authority));
-  // What the scheduler calls a fresh word must be over before anybody takes over.
+  BOOST_TEST((watch.requests_end() >=
+              watch.observed().changed_at + options.renew_period + options.authority));
+  // The scheduler's fresh_word must be over before any instance takes over.
   BOOST_TEST((scheduling::scheduler_options{}.fresh_word < options.silence_timeout_unlinked));
 }
 
-BOOST_FIXTURE_TEST_CASE(older_and_damaged_rows_are_left_out, watched_owner)
+BOOST_FIXTURE_TEST_CASE(older_and_damaged_rows_are_ignored, watched_owner)
 {
   see("instance-2", "life-2", 5);
   see("instance-3", "life-3", 4);
-  BOOST_TEST(watch.seen().row.holder == "instance-2");
-  BOOST_TEST(!watch.take_in({{node::k_owners_table, "cell", "owner"}, "no json", 6}).has_value());
-  BOOST_TEST(watch.seen().row.holder == "instance-2");
+  BOOST_TEST(watch.observed().row.holder == "instance-2");
+  BOOST_TEST(!watch.update({{node::k_owners_table, "cell", "owner"}, "no json", 6}).has_value());
+  BOOST_TEST(watch.observed().row.holder == "instance-2");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Node/PartitionOwnerTest.cpp
+++ b/Source/UnitTests/Node/PartitionOwnerTest.cpp
@@ -28,7 +28,7 @@
   BOOST_TEST(metrics.total(common::timing::decision).count >= 10U);
 }
 
-// What it shows of the partition is not its own any more.
+// The instance's metrics of a partition are no longer valid once another instance owns it.
 BOOST_FIXTURE_TEST_CASE(an_owner_that_has_lost_its_partition_shows_no_backlog, owner_under_test)
 {
   pass(milliseconds{1000});
@@ -40,14 +40,15 @@
   BOOST_TEST(metrics.value(common::gauge::hold_overdue_ms) == 0U);
 }
 
-// A weak instance that was first serves until a stronger one has been there for a while.
-BOOST_FIXTURE_TEST_CASE(a_partition_is_given_to_a_stronger_instance_that_stays, owner_under_test)
+// A weak instance that took the partition first serves it until a stronger one has been present for
+// a while.
+BOOST_FIXTURE_TEST_CASE(a_partition_is_released_to_a_stronger_instance_that_stays, owner_under_test)
 {
   pass(milliseconds{1000});
   BOOST_TEST_REQUIRE(owner.owns());
   strongest_peer = 2 * processor_millis;
   pass(milliseconds{1000});
-  strongest_peer = 0; // gone again
+  strongest_peer = 0; // the stronger instance has gone again
   pass(milliseconds{100});
   strongest_peer = 2 * processor_millis;
   pass(milliseconds{1000});
@@ -56,12 +57,13 @@
   BOOST_TEST(!owner.owns());
   BOOST_TEST(node::owner_row_from(owner_row().value)->holder.empty());
   pass(milliseconds{1000});
-  BOOST_TEST(!owner.owns()); // it is left to the other
+  BOOST_TEST(!owner.owns()); // the partition is left to the stronger instance
 }
 
-// Later owners count an earlier one's authority from its latest row. One that read its rows for
-// seconds after its takeover counted its own from the end of the reading.
-BOOST_FIXTURE_TEST_CASE(the_authority_of_an_owner_begins_with_its_takeover, owner_under_test)
+// Guards against an owner whose authority lasts longer than later owners assume. They count it from
+// the owner's latest row; an owner that read its rows for seconds after its takeover counted its
+// authority from the end of the reading.
+BOOST_FIXTURE_TEST_CASE(the_authority_of_an_owner_starts_with_its_takeover, owner_under_test)
 {
   const std::string id = "0123456789abcdef";
   jobs::accepted_job job;
@@ -89,9 +91,10 @@
   BOOST_TEST(owner.owns());
 }
 
-// Explorer, seed 1337: an instance had given its partition back while its feed was behind. The
-// feed then showed a renewal of that ownership, which was taken for a takeover that had got no
-// answer; without any word of the store the instance went on as the owner, beside the next one.
+// Guards against two owners at once (explorer, seed 1337): an instance had released its partition
+// while its feed was behind. The feed then delivered a renewal of that ownership, which was taken
+// for a takeover that had got no reply; without any reply of the store the instance went on as the
+// owner, beside the next one.
 BOOST_FIXTURE_TEST_CASE(an_old_row_of_an_ended_ownership_does_not_bring_it_back, owner_under_test)
 {
   pass(milliseconds{2500});
@@ -107,7 +110,7 @@
   BOOST_TEST(!owner.owns());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_takeover_whose_answer_was_lost_is_known_by_its_row, owner_under_test)
+BOOST_FIXTURE_TEST_CASE(a_takeover_whose_reply_was_lost_is_recognized_by_its_row, owner_under_test)
 {
   wire.lose_answers = true;
   pass(milliseconds{25});
@@ -119,10 +122,11 @@
   BOOST_TEST(owner.owns());
 }
 
-// Explorer, seed 113041: answers of the store were lost, so that a caller heard of the cancellation
-// before the instance that had kept the job was sure of it and told the owner. The owner had passed
-// over the cancellation of a job that it did not know, and the feed came 11 s later.
-BOOST_FIXTURE_TEST_CASE(a_cancellation_that_is_heard_before_its_job_holds, owner_under_test)
+// Guards against a lost cancellation (explorer, seed 113041): replies of the store were lost, so
+// that a caller learned of the cancellation before the instance that had stored the job was sure of
+// it and notified the owner. The owner had ignored the cancellation of a job that it did not know,
+// and the feed came 11 s later.
+BOOST_FIXTURE_TEST_CASE(a_cancellation_received_before_its_job_is_applied, owner_under_test)
 {
   pass(milliseconds{100});
   BOOST_TEST_REQUIRE(owner.owns());
@@ -136,9 +140,10 @@
   BOOST_TEST((owner.written_state(job.id) == jobs::job_state::cancelled));
 }
 
-// Explorer, seed 210931: the history was gone, all jobs were read again, and meanwhile the store
-// was heard after a silence, so that the feed asked anew and all was read a second time; the first
-// reading ended after the ownership and brought its jobs to a scheduler that was gone.
+// Guards against two reads of the jobs at the same time (explorer, seed 210931): the feed's history
+// was gone and all jobs were read again. Meanwhile the store answered after a silence, so that the
+// feed asked anew and all jobs were read a second time. The first read ended after the ownership
+// and passed its jobs to a scheduler that no longer existed.
 BOOST_FIXTURE_TEST_CASE(jobs_are_read_again_once_at_a_time, owner_under_test)
 {
   pass(milliseconds{100});
@@ -154,13 +159,13 @@
     return wire.calls - before;
   };
   const unsigned usual = calls_after_loss(false);
-  BOOST_TEST(usual > 8U); // the parts of the jobs' table
+  BOOST_TEST(usual > 8U); // all parts of the jobs' table
   BOOST_TEST(calls_after_loss(true) == usual);
 }
 
-// The partition's own rows tell who may run something; the entries only where there is room.
-BOOST_FIXTURE_TEST_CASE(workers_entries_that_cannot_be_read_hold_a_takeover_up_for_a_moment,
-                        owner_under_test)
+// The partition's own rows say which workers may be running something; the worker entries only show
+// where there is free capacity.
+BOOST_FIXTURE_TEST_CASE(unreadable_worker_entries_delay_a_takeover_only_briefly, owner_under_test)
 {
   entries_known = false;
   pass(milliseconds{500});
@@ -169,8 +174,7 @@
   BOOST_TEST(owner.owns());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_takeover_goes_on_as_soon_as_the_workers_entries_are_read,
-                        owner_under_test)
+BOOST_FIXTURE_TEST_CASE(a_takeover_continues_once_the_worker_entries_are_read, owner_under_test)
 {
   entries_known = false;
   pass(milliseconds{200});
--- a/Source/UnitTests/Node/PreviousOwnerRequestsTest.cpp
+++ b/Source/UnitTests/Node/PreviousOwnerRequestsTest.cpp
@@ -16,21 +16,21 @@
 
 namespace
 {
-constexpr const char* k_earlier = "instance-2";
+constexpr const char* k_previous = "instance-2";
 
-// This instance takes over, as the owner 5, from an owner of some length.
+// This instance takes over, with epoch 5, from an owner with the given number of renewals.
 struct taken_over
 {
   explicit taken_over(std::uint64_t renewals = 100)
   {
     node::owner_row row;
-    row.holder = k_earlier;
+    row.holder = k_previous;
     row.life = "life-2";
     row.epoch = 4;
     row.renewal = renewals;
-    watch.take_in({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 9});
+    watch.update({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 9});
     pass(seconds{1});
-    earlier.begin(watch, 5);
+    requests.begin(watch, 5);
   }
 
   void pass(common::duration span) { time.run_until(time.now() + span); }
@@ -39,13 +39,13 @@
   node::ownership_options options;
   node::store_clock clock{time};
   node::owner_watch watch{time, clock, {"instance-1", "life-1"}, "cell", options};
-  std::vector<std::string> asked;
-  node::previous_owner_requests earlier{time, "cell",
-                                        [this](const std::string& peer, const common::peer_message&)
-                                        { asked.push_back(peer); }};
+  std::vector<std::string> queried;
+  node::previous_owner_requests requests{
+      time, "cell",
+      [this](const std::string& peer, const common::peer_message&) { queried.push_back(peer); }};
 };
 
-// Keeps what an instance sends to its peers.
+// Records the replies that an instance sends to its peers.
 struct answering_owner : owner_under_test
 {
   std::vector<orders_reply> replies;
@@ -83,62 +83,64 @@
 
 BOOST_AUTO_TEST_SUITE(PreviousOwnerRequestsTest)
 
-BOOST_FIXTURE_TEST_CASE(the_earlier_owners_instance_is_asked_until_it_answers, taken_over)
+BOOST_FIXTURE_TEST_CASE(the_previous_owners_instance_is_queried_until_it_replies, taken_over)
 {
-  earlier.tick();
-  earlier.tick();
-  BOOST_TEST(asked.size() == 1U);
+  requests.tick();
+  requests.tick();
+  BOOST_TEST(queried.size() == 1U);
   pass(milliseconds{250});
-  earlier.tick();
-  BOOST_TEST(asked.size() == 2U);
-  BOOST_TEST(asked.back() == k_earlier);
-  BOOST_TEST(earlier.on_reply(k_earlier, {"cell", 5, 100}));
+  requests.tick();
+  BOOST_TEST(queried.size() == 2U);
+  BOOST_TEST(queried.back() == k_previous);
+  BOOST_TEST(requests.on_reply(k_previous, {"cell", 5, 100}));
   pass(milliseconds{250});
-  earlier.tick();
-  BOOST_TEST(asked.size() == 2U);
+  requests.tick();
+  BOOST_TEST(queried.size() == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(orders_are_over_since_the_instance_is_quiet, taken_over)
+BOOST_FIXTURE_TEST_CASE(requests_ended_with_the_last_one_of_the_instance, taken_over)
 {
-  BOOST_TEST((earlier.end() == watch.requests_end()));
-  BOOST_TEST(earlier.on_reply(k_earlier, {"cell", 5, 100}));
-  BOOST_TEST((earlier.end() == time.now() - milliseconds{100}));
+  BOOST_TEST((requests.end() == watch.requests_end()));
+  BOOST_TEST(requests.on_reply(k_previous, {"cell", 5, 100}));
+  BOOST_TEST((requests.end() == time.now() - milliseconds{100}));
 }
 
-BOOST_FIXTURE_TEST_CASE(other_answers_prove_nothing, taken_over)
+BOOST_FIXTURE_TEST_CASE(other_replies_are_ignored, taken_over)
 {
-  BOOST_TEST(!earlier.on_reply("instance-3", {"cell", 5, 100}));
-  BOOST_TEST(!earlier.on_reply(k_earlier, {"cell", 4, 100})); // asked at an earlier takeover
-  BOOST_TEST(!earlier.on_reply(k_earlier, {"other", 5, 100}));
-  BOOST_TEST((earlier.end() == watch.requests_end()));
+  BOOST_TEST(!requests.on_reply("instance-3", {"cell", 5, 100}));
+  BOOST_TEST(!requests.on_reply(k_previous,
+                                {"cell", 4, 100})); // a reply to the query of an earlier takeover
+  BOOST_TEST(!requests.on_reply(k_previous, {"other", 5, 100}));
+  BOOST_TEST((requests.end() == watch.requests_end()));
 }
 
-// The owner before the latest one may still give orders.
-BOOST_AUTO_TEST_CASE(after_a_short_ownership_the_owners_before_it_count_as_well)
+// The owner before the previous one may still send requests to workers.
+BOOST_AUTO_TEST_CASE(after_a_short_ownership_earlier_owners_count_as_well)
 {
   taken_over taken(5);
-  BOOST_TEST(taken.earlier.on_reply(k_earlier, {"cell", 5, 100}));
-  BOOST_TEST((taken.earlier.end() == taken.watch.requests_end() - 2 * taken.options.renew_period));
+  BOOST_TEST(taken.requests.on_reply(k_previous, {"cell", 5, 100}));
+  BOOST_TEST((taken.requests.end() == taken.watch.requests_end() - 2 * taken.options.renew_period));
 }
 
-// As that owner wrote it, on the clock that all share.
-BOOST_AUTO_TEST_CASE(the_end_of_the_owners_before_is_handed_on)
+// The previous owner has written that end on the store's clock, which all instances share.
+BOOST_AUTO_TEST_CASE(the_reported_end_of_earlier_owners_is_used)
 {
   taken_over taken(4);
   taken.clock.heard(adapter::store_time{milliseconds{500000}}, taken.time.now());
-  node::owner_row row = taken.watch.seen().row;
+  node::owner_row row = taken.watch.observed().row;
   row.previous_requests_end = adapter::store_time{milliseconds{500700}};
-  taken.watch.written(row, 10);
-  taken.earlier.begin(taken.watch, 5);
-  BOOST_TEST(taken.earlier.on_reply(k_earlier, {"cell", 5, 100}));
-  BOOST_TEST((taken.earlier.end() >= taken.time.now() + milliseconds{700}));
-  BOOST_TEST((taken.earlier.end() <= taken.time.now() + milliseconds{702}));
+  taken.watch.row_written(row, 10);
+  taken.requests.begin(taken.watch, 5);
+  BOOST_TEST(taken.requests.on_reply(k_previous, {"cell", 5, 100}));
+  BOOST_TEST((taken.requests.end() >= taken.time.now() + milliseconds{700}));
+  BOOST_TEST((taken.requests.end() <= taken.time.now() + milliseconds{702}));
 }
 
-// Explorer, seed 200855: an owner was killed soon after its takeover, and its next process took
-// over. It had seen no more than the latest row, and could not read the time in it before the store
-// had told it its clock; it counted 5 s from its own start for the owners before.
-BOOST_AUTO_TEST_CASE(a_new_process_counts_by_the_row_once_it_knows_the_stores_clock)
+// Guards against a needless wait of 5 s (explorer, seed 200855): an owner was killed soon after its
+// takeover, and its next process took over. That process had seen only the latest row, and could
+// not convert the time in it before the store's reply had set its clock, so it counted 5 s from its
+// own start for the owners before.
+BOOST_AUTO_TEST_CASE(a_new_process_uses_the_reported_end_once_the_store_clock_is_known)
 {
   model::virtual_time time;
   node::store_clock clock{time};
@@ -150,17 +152,17 @@
   row.epoch = 4;
   row.renewal = 1;
   row.previous_requests_end = adapter::store_time{milliseconds{500700}};
-  watch.take_in({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 9});
-  node::previous_owner_requests earlier{time, "cell", [](const std::string&, const auto&) {}};
-  earlier.begin(watch, 5);
-  BOOST_TEST((earlier.end() == options.requests_end(time.now())));
+  watch.update({{node::k_owners_table, "cell", "owner"}, node::to_row_text(row), 9});
+  node::previous_owner_requests requests{time, "cell", [](const std::string&, const auto&) {}};
+  requests.begin(watch, 5);
+  BOOST_TEST((requests.end() == options.requests_end(time.now())));
   clock.heard(adapter::store_time{milliseconds{500000}}, time.now());
-  earlier.count_again();
-  BOOST_TEST((earlier.end() >= time.now() + milliseconds{700}));
-  BOOST_TEST((earlier.end() <= time.now() + milliseconds{702}));
+  requests.recompute_end();
+  BOOST_TEST((requests.end() >= time.now() + milliseconds{700}));
+  BOOST_TEST((requests.end() <= time.now() + milliseconds{702}));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_instance_answers_once_it_has_seen_the_later_owner, answering_owner)
+BOOST_FIXTURE_TEST_CASE(an_instance_replies_once_it_has_seen_the_later_owner, answering_owner)
 {
   see_owner(4, 10);
   ask(5);
@@ -173,7 +175,7 @@
   BOOST_TEST(replies.front().quiet_ms >= 300U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_is_replaced_has_been_quiet_since_it_knew, answering_owner)
+BOOST_FIXTURE_TEST_CASE(a_replaced_owner_reports_since_when_it_knows, answering_owner)
 {
   pass(*instance, milliseconds{2000});
   BOOST_TEST_REQUIRE(instance->owns());
@@ -187,8 +189,8 @@
   BOOST_TEST(replies.front().quiet_ms == 200U);
 }
 
-// The answer to its own takeover may be under way, and make it an earlier owner.
-BOOST_FIXTURE_TEST_CASE(an_instance_that_is_taking_over_does_not_answer, answering_owner)
+// The reply to its own takeover may be in transit, and make it an earlier owner.
+BOOST_FIXTURE_TEST_CASE(an_instance_that_is_taking_over_does_not_reply, answering_owner)
 {
   instance->tick(time.now(), begin);
   see_owner(2, 1000);
--- a/Source/UnitTests/Node/RowSweeperTest.cpp
+++ b/Source/UnitTests/Node/RowSweeperTest.cpp
@@ -71,24 +71,24 @@
 
 BOOST_FIXTURE_TEST_CASE(rows_stay_as_long_as_callers_may_ask, swept_store)
 {
-  sweeper.ended(k_ids);
+  sweeper.add_ended(k_ids);
   pass(seconds{239});
   BOOST_TEST(job_rows() == 6U);
   BOOST_TEST(progress_rows() == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(rows_of_ended_jobs_go_and_others_stay, swept_store)
+BOOST_FIXTURE_TEST_CASE(rows_of_ended_jobs_are_removed_and_others_stay, swept_store)
 {
-  sweeper.ended({k_ids[0], k_ids[2]});
+  sweeper.add_ended({k_ids[0], k_ids[2]});
   pass(seconds{245});
   BOOST_TEST(job_rows() == 2U);
   BOOST_TEST(progress_rows() == 1U);
 }
 
-// A job whose progress is gone while its own row is there would be run again.
+// A job without its progress row would be run again if its own row still existed.
 BOOST_FIXTURE_TEST_CASE(progress_stays_until_the_jobs_own_row_is_certainly_gone, swept_store)
 {
-  sweeper.ended(k_ids);
+  sweeper.add_ended(k_ids);
   wire.lose_answers = true;
   pass(seconds{250});
   BOOST_TEST(progress_rows() == 3U);
