--- a/Source/Core/Node/OwnerWatch.cpp
+++ b/Source/Core/Node/OwnerWatch.cpp
@@ -120,9 +120,10 @@
   return m_clock.latest_local_time(*m_observed.row.previous_requests_end);
 }
 
-// The earlier of two times. The owner may have reported the end in its row. Besides, the owners
-// before it renewed nothing after its takeover, which happened at least as long ago as its renewals
-// took: except for k_unspaced_renewals, they are a period apart.
+// The earlier of two times: the end that the owner has reported in its row, if it has, and an
+// estimate from its renewals. The owners before it renewed nothing after its takeover, and that
+// happened at least as long ago as its renewals took: all but k_unspaced_renewals of them are a
+// period apart.
 common::time_point owner_watch::predecessors_requests_end() const
 {
   if (m_observed.row.epoch <= 1)
--- a/Source/Core/Node/OwnerWatch.h
+++ b/Source/Core/Node/OwnerWatch.h
@@ -48,7 +48,7 @@
   // take it over instead.
   bool takeover_due(common::time_point now, common::time_point feed_healthy_since,
                     bool stronger_peer) const;
-  // When the observed owner has sent its last request to a worker, if it is replaced now.
+  // When the observed owner has certainly sent its last request to a worker, if it is replaced now.
   common::time_point requests_end() const;
   // The same for the owners before it; time_point{} if there were none.
   common::time_point predecessors_requests_end() const;
--- a/Source/Core/Node/OwnershipOptions.h
+++ b/Source/Core/Node/OwnershipOptions.h
@@ -35,8 +35,8 @@
   // sites' load, where most instances have 0.12. An instance gives way to a peer that may use
   // `stronger_peer_factor` times its own processor share: it delays its takeover by
   // `stronger_peer_takeover_delay`, and releases its own partition once such a peer has been
-  // present for `stronger_peer_release_delay`. A takeover costs half a second, so it is not worth
-  // it for a peer that comes and goes.
+  // present for `stronger_peer_release_delay`. A takeover costs half a second, so giving way to a
+  // peer that comes and goes is not worth it.
   double stronger_peer_factor = 1.5;
   common::duration stronger_peer_takeover_delay = std::chrono::milliseconds{1500};
   common::duration stronger_peer_release_delay = std::chrono::milliseconds{1500};
--- a/Source/Core/Node/PartitionOwner.h
+++ b/Source/Core/Node/PartitionOwner.h
@@ -48,7 +48,7 @@
   advice_pool& advice;
   common::metrics& metrics;
   std::function<void(const std::string& peer, const common::peer_message&)> send_to_peer;
-  // The known workers; like `queues` below, kept up to date by a feed.
+  // The known workers, kept up to date by a feed, as are `queues` below.
   const std::map<std::string, scheduling::worker_info>& worker_entries;
   // Whether all worker entries have been read since this instance began to take a partition over.
   std::function<bool()> worker_entries_known;
@@ -139,7 +139,7 @@
                    std::optional<common::time_point> feed_healthy_since) const;
   void acquire();
   // When the requests of all previous owners to workers, and the leases that those owners granted,
-  // have ended.
+  // have certainly ended.
   common::time_point previous_leases_end() const;
   void on_acquired(const owner_row& row, const adapter::transaction_result& result);
   void load();
@@ -181,8 +181,8 @@
   bool m_stopping = false;
   bool m_releasing = false; // the partition is released once everything is committed
 
-  // State of the present ownership.
-  // A new object for each ownership; callbacks hold it weakly.
+  // State of the present ownership. `m_ownership` is a new object for each ownership, and callbacks
+  // hold it weakly.
   std::shared_ptr<int> m_ownership;
   std::unique_ptr<scheduling::job_scheduler> m_scheduler;
   std::shared_ptr<partition_loader> m_loader;
--- a/Source/UnitTests/Node/PreviousOwnerRequestsTest.cpp
+++ b/Source/UnitTests/Node/PreviousOwnerRequestsTest.cpp
@@ -98,7 +98,7 @@
   BOOST_TEST(queried.size() == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(requests_ended_with_the_last_one_of_the_instance, taken_over)
+BOOST_FIXTURE_TEST_CASE(the_end_is_the_last_request_that_the_instance_reports, taken_over)
 {
   BOOST_TEST((requests.end() == watch.requests_end()));
   BOOST_TEST(requests.on_reply(k_previous, {"cell", 5, 100}));
@@ -175,7 +175,7 @@
   BOOST_TEST(replies.front().quiet_ms >= 300U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_replaced_owner_reports_since_when_it_knows, answering_owner)
+BOOST_FIXTURE_TEST_CASE(a_replaced_owner_reports_the_time_since_it_was_replaced, answering_owner)
 {
   pass(*instance, milliseconds{2000});
   BOOST_TEST_REQUIRE(instance->owns());
