--- a/Source/Core/Node/OwnerRow.cpp
+++ b/Source/Core/Node/OwnerRow.cpp
@@ -92,8 +92,9 @@
                             row.start_waits[each.at(0).get<std::uint32_t>()] =
                                 std::chrono::milliseconds(each.at(1).get<std::int64_t>());
                           if (in.contains(k_earlier_orders_end_ms))
-                            row.previous_requests_end = adapter::store_time(std::chrono::milliseconds(
-                                in.at(k_earlier_orders_end_ms).get<std::int64_t>()));
+                            row.previous_requests_end =
+                                adapter::store_time(std::chrono::milliseconds(
+                                    in.at(k_earlier_orders_end_ms).get<std::int64_t>()));
                           return row;
                         });
 }
