--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -49,7 +49,7 @@
   const auto observed = m_watch.update(row);
   if (!observed)
     return;
-  m_dependencies.capacities.note_all(observed->largest);
+  m_dependencies.capacities.add_all(observed->largest);
   if ((m_state == state::owning || m_state == state::loading) &&
       observed->life != m_self.incarnation && row.version > m_token)
     end_ownership("the owner's row names another instance");
@@ -264,7 +264,7 @@
 void partition_owner::job_accepted_here(const jobs::accepted_job& job, adapter::row_version version)
 {
   if (owns())
-    m_intake->job_kept(job, version);
+    m_intake->job_stored(job, version);
   else if (!seen().row.holder.empty())
     m_dependencies.send_to_peer(seen().row.holder,
                                 common::job_notice{job.id, jobs::to_row_text(job), version});
--- a/Source/Core/Node/PartitionOwner.h
+++ b/Source/Core/Node/PartitionOwner.h
@@ -28,7 +28,7 @@
 #include "Node/PartitionLoader.h"
 #include "Node/PreviousOwnerRequests.h"
 #include "Node/RowSweeper.h"
-#include "Node/SeenCapacities.h"
+#include "Node/KnownCapacities.h"
 #include "Node/StoreClock.h"
 #include "Node/StorePath.h"
 #include "Scheduling/JobScheduler.h"
@@ -52,7 +52,7 @@
   const std::map<std::string, scheduling::worker_info>& worker_entries;
   // Whether all worker entries have been read since this instance began to take a partition over.
   std::function<bool()> worker_entries_known;
-  seen_capacities& capacities;
+  known_capacities& capacities;
   const loop_monitor& loop;
   const jobs::queue_table& queues;
   // How the cell is divided into partitions. It outlives the owners.
--- a/Source/Core/Node/StorePath.cpp
+++ b/Source/Core/Node/StorePath.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "Common/EventLog.h"
-#include "Node/CopiedCall.h"
+#include "Node/DuplicatedRequest.h"
 
 namespace yardhill::node
 {
@@ -140,7 +140,7 @@
 {
   // While the direct path is only in doubt, calls are relayed only if a peer reports that it
   // reaches the store: a slow store is slow for the peers as well, and they report that.
-  if (m_direct_failing_since || isolated() || (in_doubt() && m_peers.way_through()))
+  if (m_direct_failing_since || isolated() || (in_doubt() && m_peers.relay_peer()))
   {
     relay(std::move(call), timeout, std::move(done));
     return;
@@ -177,7 +177,7 @@
 // instance and a peer reports that the store still answers the peer.
 void store_path::copy_overdue_calls()
 {
-  if (m_direct_failing_since || !in_doubt() || !m_peers.way_through())
+  if (m_direct_failing_since || !in_doubt() || !m_peers.relay_peer())
     return;
   const common::time_point now = m_time.now();
   for (auto& [number, each] : m_in_flight)
@@ -186,7 +186,7 @@
     if (each.copied || now - each.began <= doubt_timeout() || left <= k_relay_round_trip)
       continue;
     each.copied = true;
-    const auto combined = std::make_shared<copied_call>(std::move(each.done));
+    const auto combined = std::make_shared<duplicated_request>(std::move(each.done));
     each.done = [combined](const http::reply& answer) { combined->answered(answer); };
     relay(each.call, left, each.done);
   }
@@ -194,7 +194,7 @@
 
 void store_path::relay(http::request call, common::duration timeout, http::reply_handler done)
 {
-  const auto peer = m_peers.way_through();
+  const auto peer = m_peers.relay_peer();
   if (!peer || timeout <= k_relay_round_trip)
   {
     m_time.post([done = std::move(done)] { done(no_path_reply()); });
