--- a/Source/Core/Model/ExploredCell.cpp
+++ b/Source/Core/Model/ExploredCell.cpp
@@ -247,7 +247,7 @@
                         });
     }
   };
-  const node::node_world world{
+  const node::node_environment world{
       *which.time,   *which.sender, *which.sender, send, [](const http::listener_limits&) {},
       *which.metrics};
   which.core =
--- a/Source/Core/Node/AdvicePool.cpp
+++ b/Source/Core/Node/AdvicePool.cpp
@@ -26,7 +26,7 @@
 constexpr std::chrono::seconds k_avoid{2};
 } // namespace
 
-advice_pool::advice_pool(common::timekeeper& time, advice_desk& own, sender send)
+advice_pool::advice_pool(common::timekeeper& time, advice_queue& own, sender send)
     : m_time(time), m_own(own), m_send(std::move(send))
 {
   m_helpers.push_back({});
@@ -69,7 +69,7 @@
   return best == nullptr ? m_helpers.front() : *best;
 }
 
-void advice_pool::ask(scheduling::advice_command question, advice_desk::answer_handler done)
+void advice_pool::ask(scheduling::advice_command question, advice_queue::answer_handler done)
 {
   helper& chosen = choose(question.expected);
   if (chosen.peer.empty())
@@ -92,7 +92,7 @@
 }
 
 void advice_pool::ask_own(helper& self, scheduling::advice_command question,
-                          advice_desk::answer_handler done)
+                          advice_queue::answer_handler done)
 {
   const auto expected = question.expected;
   self.backlog += expected;
--- a/Source/Core/Node/AdvicePool.h
+++ b/Source/Core/Node/AdvicePool.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "Common/PeerMessages.h"
-#include "Node/AdviceDesk.h"
+#include "Node/AdviceQueue.h"
 
 namespace yardhill::node
 {
@@ -26,9 +26,9 @@
 public:
   using sender = std::function<void(const std::string& peer, const common::peer_message&)>;
 
-  advice_pool(common::timekeeper& time, advice_desk& own, sender send);
+  advice_pool(common::timekeeper& time, advice_queue& own, sender send);
 
-  void ask(scheduling::advice_command question, advice_desk::answer_handler done);
+  void ask(scheduling::advice_command question, advice_queue::answer_handler done);
   // What the instances that can be asked now take at once.
   scheduling::advice_slots slots(common::time_point now) const;
 
@@ -48,7 +48,7 @@
   struct outstanding
   {
     scheduling::advice_command question;
-    advice_desk::answer_handler done;
+    advice_queue::answer_handler done;
     common::time_point overdue;
   };
 
@@ -65,11 +65,12 @@
   // How many of the helpers, from the first on, are kept free of long calls.
   std::size_t kept_free() const;
   helper& choose(std::chrono::milliseconds expected);
-  void ask_own(helper& self, scheduling::advice_command question, advice_desk::answer_handler done);
+  void ask_own(helper& self, scheduling::advice_command question,
+               advice_queue::answer_handler done);
   void settle(const std::string& peer, std::chrono::milliseconds expected);
 
   common::timekeeper& m_time;
-  advice_desk& m_own;
+  advice_queue& m_own;
   sender m_send;
   std::vector<helper> m_helpers;                                       // the first is this instance
   std::map<std::string, std::map<std::uint64_t, outstanding>> m_asked; // by peer
--- a/Source/Core/Node/AdviceDesk.cpp
+++ b/Source/Core/Node/AdviceQueue.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Node/AdviceDesk.h"
+#include "Node/AdviceQueue.h"
 
 #include <utility>
 
@@ -14,19 +14,19 @@
 constexpr std::chrono::milliseconds k_timeout_slack{700};
 } // namespace
 
-advice_desk::advice_desk(common::timekeeper& time, adapter::advice_client& client)
+advice_queue::advice_queue(common::timekeeper& time, adapter::advice_client& client)
     : m_time(time), m_client(client)
 {
 }
 
-void advice_desk::ask(scheduling::advice_command question, answer_handler done)
+void advice_queue::ask(scheduling::advice_command question, answer_handler done)
 {
   const auto expected = question.expected;
   m_waiting.emplace(expected, waiting{std::move(question), std::move(done), m_time.now()});
   next();
 }
 
-std::chrono::milliseconds advice_desk::backlog() const
+std::chrono::milliseconds advice_queue::backlog() const
 {
   std::chrono::milliseconds sum = m_under_way;
   for (const auto& [expected, each] : m_waiting)
@@ -34,7 +34,7 @@
   return sum;
 }
 
-void advice_desk::next()
+void advice_queue::next()
 {
   if (m_busy || m_waiting.empty())
     return;
--- a/Source/Core/Node/AdviceDesk.h
+++ b/Source/Core/Node/AdviceQueue.h
@@ -14,12 +14,12 @@
 
 namespace yardhill::node
 {
-class advice_desk
+class advice_queue
 {
 public:
   using answer_handler = std::function<void(scheduling::advice_answer)>;
 
-  advice_desk(common::timekeeper& time, adapter::advice_client& client);
+  advice_queue(common::timekeeper& time, adapter::advice_client& client);
 
   void ask(scheduling::advice_command question, answer_handler done);
   // How long the calls in line and under way take together.
--- a/Source/Core/Node/CallerGateway.cpp
+++ b/Source/Core/Node/CallerGateway.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "Common/EventLog.h"
-#include "Node/ComeBack.h"
+#include "Node/RetryAfter.h"
 #include "platform/Ingress.h"
 
 namespace yardhill::node
@@ -44,10 +44,11 @@
 }
 } // namespace
 
-caller_gateway::caller_gateway(common::timekeeper& time, job_store& store, state_desk& states,
-                               const store_path& path, const jobs::queue_table& queues,
+caller_gateway::caller_gateway(common::timekeeper& time, job_store& store,
+                               job_state_queries& states, const store_path& path,
+                               const jobs::queue_table& queues,
                                const configuration_watch& configuration,
-                               const seen_capacities& capacities, const layout_keeper& layout,
+                               const known_capacities& capacities, const layout_keeper& layout,
                                const std::vector<std::unique_ptr<partition_owner>>& partitions,
                                common::metrics& counts)
     : m_time(time),
@@ -161,7 +162,7 @@
   if (how.status == 503 || how.status == 504)
   {
     const std::uint32_t priority = what.route ? what.route->policy.priority : 0;
-    const auto after = how.come_back.value_or(come_back_after(priority, what.id));
+    const auto after = how.come_back.value_or(default_retry_after(priority, what.id));
     answer.headers.emplace_back("Retry-After", std::to_string(after.count()));
   }
   // The caller's next try then opens a connection, which the platform takes elsewhere.
--- a/Source/Core/Node/CallerGateway.h
+++ b/Source/Core/Node/CallerGateway.h
@@ -16,21 +16,21 @@
 #include "Http/HttpListener.h"
 #include "Jobs/QueueTable.h"
 #include "Node/ConfigurationWatch.h"
-#include "Node/EarlyCalls.h"
+#include "Node/JobStateQueries.h"
 #include "Node/JobStore.h"
+#include "Node/KnownCapacities.h"
 #include "Node/LayoutKeeper.h"
 #include "Node/PartitionOwner.h"
-#include "Node/SeenCapacities.h"
-#include "Node/StateDesk.h"
+#include "Node/StartupRequests.h"
 
 namespace yardhill::node
 {
 class caller_gateway
 {
 public:
-  caller_gateway(common::timekeeper& time, job_store& store, state_desk& states,
+  caller_gateway(common::timekeeper& time, job_store& store, job_state_queries& states,
                  const store_path& path, const jobs::queue_table& queues,
-                 const configuration_watch& configuration, const seen_capacities& capacities,
+                 const configuration_watch& configuration, const known_capacities& capacities,
                  const layout_keeper& layout,
                  const std::vector<std::unique_ptr<partition_owner>>& partitions,
                  common::metrics& counts);
@@ -110,16 +110,16 @@
 
   common::timekeeper& m_time;
   job_store& m_store;
-  state_desk& m_states;
+  job_state_queries& m_states;
   const store_path& m_path;
   const jobs::queue_table& m_queues;
   const configuration_watch& m_configuration;
-  const seen_capacities& m_capacities;
+  const known_capacities& m_capacities;
   const layout_keeper& m_layout;
   const std::vector<std::unique_ptr<partition_owner>>& m_partitions;
   common::metrics& m_metrics;
   common::time_point m_started; // of this instance
-  early_calls m_early;
+  startup_requests m_early;
   std::unordered_map<std::string, std::string> m_homes; // of jobs seen here
   std::optional<common::time_point> m_end;              // of this process, once it is planned
 };
--- a/Source/Core/Node/CallerGatewayOverload.cpp
+++ b/Source/Core/Node/CallerGatewayOverload.cpp
@@ -7,7 +7,7 @@
 
 #include "Common/EventLog.h"
 #include "Node/Admission.h"
-#include "Node/ComeBack.h"
+#include "Node/RetryAfter.h"
 
 namespace yardhill::node
 {
@@ -30,7 +30,7 @@
                    }
                    refuse(*what,
                           {503, common::refusal_reason::queue_full, result.detail, result.evidence,
-                           come_back_after_backlog(what->route->policy.priority, job.id, *excess)});
+                           retry_after_overload(what->route->policy.priority, job.id, *excess)});
                  });
   return true;
 }
--- a/Source/Core/Node/CopiedCall.cpp
+++ b/Source/Core/Node/DuplicatedRequest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Node/CopiedCall.h"
+#include "Node/DuplicatedRequest.h"
 
 #include <utility>
 
@@ -16,20 +16,21 @@
 // Whether the answer tells what has become of the call, whatever the other copy's is.
 bool decides(const http::reply& answer)
 {
-  return answer.answered() && answer.status < k_first_server_error && !certainly_not_done(answer);
+  return answer.answered() && answer.status < k_first_server_error &&
+         !certainly_not_executed(answer);
 }
 } // namespace
 
-bool certainly_not_done(const http::reply& answer)
+bool certainly_not_executed(const http::reply& answer)
 {
   if (!answer.answered())
     return answer.refused;
   return answer.status == k_too_many_requests || answer.status == k_unavailable;
 }
 
-copied_call::copied_call(http::reply_handler done) : m_done(std::move(done)) {}
+duplicated_request::duplicated_request(http::reply_handler done) : m_done(std::move(done)) {}
 
-void copied_call::answered(const http::reply& answer)
+void duplicated_request::answered(const http::reply& answer)
 {
   if (!m_done)
     return;
@@ -38,7 +39,7 @@
     m_first = answer;
     return;
   }
-  const bool told = decides(answer) || !certainly_not_done(answer);
+  const bool told = decides(answer) || !certainly_not_executed(answer);
   const http::reply outcome = told ? answer : *m_first;
   std::exchange(m_done, nullptr)(outcome);
 }
--- a/Source/Core/Node/CopiedCall.h
+++ b/Source/Core/Node/DuplicatedRequest.h
@@ -15,14 +15,14 @@
 namespace yardhill::node
 {
 // Whether the store has certainly not carried the call out.
-bool certainly_not_done(const http::reply& answer);
+bool certainly_not_executed(const http::reply& answer);
 
-class copied_call
+class duplicated_request
 {
 public:
   // `done` is told once: what one copy has brought about, else that neither was carried out, else
   // that the outcome is not known.
-  explicit copied_call(http::reply_handler done);
+  explicit duplicated_request(http::reply_handler done);
 
   // Of either copy; each is told once.
   void answered(const http::reply& answer);
--- a/Source/Core/Node/JobIntake.cpp
+++ b/Source/Core/Node/JobIntake.cpp
@@ -117,7 +117,7 @@
     if (std::holds_alternative<cancel_mark>(kept->content))
       job_cancelled(kept->id);
     else if (const auto* job = std::get_if<jobs::accepted_job>(&kept->content))
-      job_kept(*job, row.version);
+      job_stored(*job, row.version);
   }
 }
 
@@ -132,12 +132,12 @@
       common::parsed("read_job_notice", notice.id,
                      [&notice] { return jobs::accepted_job_from(notice.id, notice.row); });
   if (job)
-    job_kept(*job, notice.version);
+    job_stored(*job, notice.version);
   else
     common::log_request("notice_damaged", notice.id, {{"error", common::to_text(job.error())}});
 }
 
-void job_intake::job_kept(const jobs::accepted_job& job, adapter::row_version version)
+void job_intake::job_stored(const jobs::accepted_job& job, adapter::row_version version)
 {
   if (m_scheduler == nullptr || version <= m_read_at || !runs_in(job, m_partition) ||
       m_scheduler->knew(job.id))
--- a/Source/Core/Node/JobIntake.h
+++ b/Source/Core/Node/JobIntake.h
@@ -39,7 +39,7 @@
   // The store is back after a silence.
   void ask_again();
 
-  void job_kept(const jobs::accepted_job& job, adapter::row_version version);
+  void job_stored(const jobs::accepted_job& job, adapter::row_version version);
   void job_cancelled(const std::string& id);
   void on_notice(const common::job_notice& notice);
   // All jobs that were kept by then are known, or have ended.
--- a/Source/Core/Node/StateDesk.cpp
+++ b/Source/Core/Node/JobStateQueries.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Node/StateDesk.h"
+#include "Node/JobStateQueries.h"
 
 #include <utility>
 
@@ -13,13 +13,14 @@
 constexpr std::chrono::milliseconds k_answer_time{150};
 } // namespace
 
-state_desk::state_desk(common::timekeeper& time, sender send,
-                       const std::vector<std::unique_ptr<partition_owner>>& partitions)
+job_state_queries::job_state_queries(
+    common::timekeeper& time, sender send,
+    const std::vector<std::unique_ptr<partition_owner>>& partitions)
     : m_time(time), m_send(std::move(send)), m_partitions(partitions)
 {
 }
 
-void state_desk::ask(const partition_owner& partition, const std::string& id, handler done)
+void job_state_queries::ask(const partition_owner& partition, const std::string& id, handler done)
 {
   const std::string& holder = partition.seen().row.holder;
   if (partition.owns() || !m_reachable.contains(holder))
@@ -32,12 +33,12 @@
   m_send(holder, common::state_question{number, id});
 }
 
-void state_desk::peer_reachable(const std::string& peer)
+void job_state_queries::peer_reachable(const std::string& peer)
 {
   m_reachable.insert(peer);
 }
 
-void state_desk::peer_unreachable(const std::string& peer)
+void job_state_queries::peer_unreachable(const std::string& peer)
 {
   m_reachable.erase(peer);
   for (auto& [number, each] : m_asked)
@@ -47,7 +48,7 @@
   }
 }
 
-void state_desk::on_question(const std::string& peer, const common::state_question& question)
+void job_state_queries::on_question(const std::string& peer, const common::state_question& question)
 {
   common::state_reply reply;
   reply.number = question.number;
@@ -62,7 +63,7 @@
   m_send(peer, reply);
 }
 
-void state_desk::on_reply(const std::string& peer, const common::state_reply& reply)
+void job_state_queries::on_reply(const std::string& peer, const common::state_reply& reply)
 {
   const auto found = m_asked.find(reply.number);
   if (found == m_asked.end() || found->second.peer != peer)
@@ -74,7 +75,7 @@
   done(sound ? std::optional(static_cast<jobs::job_state>(reply.state)) : std::nullopt);
 }
 
-void state_desk::tick(common::time_point now)
+void job_state_queries::tick(common::time_point now)
 {
   std::vector<handler> overdue;
   for (auto each = m_asked.begin(); each != m_asked.end();)
--- a/Source/Core/Node/StateDesk.h
+++ b/Source/Core/Node/JobStateQueries.h
@@ -23,15 +23,15 @@
 
 namespace yardhill::node
 {
-class state_desk
+class job_state_queries
 {
 public:
   using sender = std::function<void(const std::string& peer, const common::peer_message&)>;
   // Nothing if the owner does not know the job or did not answer in time.
   using handler = std::function<void(std::optional<jobs::job_state>)>;
 
-  state_desk(common::timekeeper& time, sender send,
-             const std::vector<std::unique_ptr<partition_owner>>& partitions);
+  job_state_queries(common::timekeeper& time, sender send,
+                    const std::vector<std::unique_ptr<partition_owner>>& partitions);
 
   // `done` may be called at once.
   void ask(const partition_owner& partition, const std::string& id, handler done);
--- a/Source/Core/Node/SeenCapacities.cpp
+++ b/Source/Core/Node/KnownCapacities.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Node/SeenCapacities.h"
+#include "Node/KnownCapacities.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 constexpr double k_beyond = 2.0;
 } // namespace
 
-void seen_capacities::note(const std::string& service, const common::resources& capacity)
+void known_capacities::note(const std::string& service, const common::resources& capacity)
 {
   std::vector<common::resources>& largest = m_largest[service];
   const bool known =
@@ -29,7 +29,7 @@
   largest.push_back(capacity);
 }
 
-void seen_capacities::note_all(const by_service& largest)
+void known_capacities::add_all(const by_service& largest)
 {
   for (const auto& [service, capacities] : largest)
   {
@@ -38,8 +38,8 @@
   }
 }
 
-std::optional<std::string> seen_capacities::never_fits(const std::string& service,
-                                                       const jobs::job_spec& spec) const
+std::optional<std::string> known_capacities::never_fits(const std::string& service,
+                                                        const jobs::job_spec& spec) const
 {
   const auto seen = m_largest.find(service);
   if (seen == m_largest.end())
--- a/Source/Core/Node/SeenCapacities.h
+++ b/Source/Core/Node/KnownCapacities.h
@@ -16,7 +16,7 @@
 
 namespace yardhill::node
 {
-class seen_capacities
+class known_capacities
 {
 public:
   using by_service = std::map<std::string, std::vector<common::resources>>;
@@ -24,7 +24,7 @@
   void note(const scheduling::worker_info& worker) { note(worker.service, worker.capacity); }
   void note(const std::string& service, const common::resources& capacity);
   // What another instance has seen.
-  void note_all(const by_service& largest);
+  void add_all(const by_service& largest);
   // None of a service's capacities fits in another one.
   const by_service& largest() const { return m_largest; }
   // Which step can never run on workers of that service, and why; none if each can, or if no worker
--- a/Source/Core/Node/NodeCore.cpp
+++ b/Source/Core/Node/NodeCore.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 node_core::node_core(const node_settings& settings, const std::string& life,
-                     const node_world& world)
+                     const node_environment& world)
     : m_world(world),
       m_self{settings.name, life},
       m_keep_status(settings.keep_status),
@@ -159,7 +159,7 @@
       m_configuration.late())
     return false;
   // While the store is away for all, other instances serve callers no better.
-  return m_operator_feed.healthy_since().has_value() || !m_peers.way_through();
+  return m_operator_feed.healthy_since().has_value() || !m_peers.relay_peer();
 }
 
 void node_core::peer_linked(const std::string& peer, const std::string& zone)
--- a/Source/Core/Node/NodeCore.h
+++ b/Source/Core/Node/NodeCore.h
@@ -26,7 +26,7 @@
 namespace yardhill::node
 {
 // The world of an instance.
-struct node_world
+struct node_environment
 {
   common::timekeeper& time;
   http::peer_sender& workers; // and the advice service
@@ -40,7 +40,7 @@
 class node_core
 {
 public:
-  node_core(const node_settings& settings, const std::string& life, const node_world& world);
+  node_core(const node_settings& settings, const std::string& life, const node_environment& world);
   ~node_core();
   node_core(const node_core&) = delete;
   node_core& operator=(const node_core&) = delete;
@@ -104,7 +104,7 @@
   // Calls of feeds may wait for seconds for a store that has come back meanwhile.
   void ask_feeds_again();
 
-  node_world m_world;
+  node_environment m_world;
   instance_identity m_self;
   common::duration m_keep_status;
   loop_monitor m_loop;
@@ -118,18 +118,18 @@
   adapter::store_client m_feed_store; // directly
   adapter::worker_client m_workers;
   adapter::advice_client m_advice_client;
-  advice_desk m_advice_desk;
+  advice_queue m_advice_desk;
   advice_pool m_advice;
   jobs::queue_table m_queues;
   table_feed m_operator_feed;
   configuration_watch m_configuration;
   std::map<std::string, scheduling::worker_info> m_worker_entries;
   std::set<std::string> m_doubted_workers; // those whose present entry is not valid
-  seen_capacities m_capacities;
+  known_capacities m_capacities;
   layout_keeper m_layout;
   std::vector<std::unique_ptr<partition_owner>> m_partitions; // none before the layout is known
   job_store m_jobs;
-  state_desk m_states;
+  job_state_queries m_states;
   caller_gateway m_gateway;
   table_feed m_worker_feed;
   table_feed m_owner_feed;
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -48,7 +48,7 @@
   const auto seen = m_watch.take_in(row);
   if (!seen)
     return;
-  m_parts.capacities.note_all(seen->largest);
+  m_parts.capacities.add_all(seen->largest);
   if ((m_state == state::owning || m_state == state::loading) && seen->life != m_self.life &&
       row.version > m_token)
     lose("the owner's row names another instance");
@@ -254,7 +254,7 @@
 void partition_owner::job_kept_here(const jobs::accepted_job& job, adapter::row_version version)
 {
   if (owns())
-    m_intake->job_kept(job, version);
+    m_intake->job_stored(job, version);
   else if (!seen().row.holder.empty())
     m_parts.send_to_peer(seen().row.holder,
                          common::job_notice{job.id, jobs::to_row_text(job), version});
--- a/Source/Core/Node/PartitionOwner.h
+++ b/Source/Core/Node/PartitionOwner.h
@@ -23,11 +23,11 @@
 #include "Node/EarlierOrders.h"
 #include "Node/JobIntake.h"
 #include "Node/JobStore.h"
+#include "Node/KnownCapacities.h"
 #include "Node/LoopMonitor.h"
 #include "Node/OwnerWatch.h"
 #include "Node/PartitionLoader.h"
 #include "Node/RowSweeper.h"
-#include "Node/SeenCapacities.h"
 #include "Node/StoreClock.h"
 #include "Node/StorePath.h"
 #include "Scheduling/JobScheduler.h"
@@ -51,7 +51,7 @@
   const std::map<std::string, scheduling::worker_info>& worker_entries;
   // Whether all entries have been read since this instance began to take a partition over.
   std::function<bool()> workers_known;
-  seen_capacities& capacities;
+  known_capacities& capacities;
   const loop_monitor& loop;
   const jobs::queue_table& queues;
   // How the cell is divided. It outlives the owners.
--- a/Source/Core/Node/PeerMonitor.cpp
+++ b/Source/Core/Node/PeerMonitor.cpp
@@ -239,7 +239,7 @@
     ask(now, owner, in_doubt);
 }
 
-std::optional<std::string> peer_monitor::way_through() const
+std::optional<std::string> peer_monitor::relay_peer() const
 {
   const common::time_point now = m_time.now();
   const std::pair<const std::string, peer>* best = nullptr;
--- a/Source/Core/Node/PeerMonitor.h
+++ b/Source/Core/Node/PeerMonitor.h
@@ -66,7 +66,7 @@
 
   // A peer that lives and, as far as is known, reaches the store; an owner only if there is no
   // other. Each instance has an order of its own, so that one peer is not asked by all.
-  std::optional<std::string> way_through() const;
+  std::optional<std::string> relay_peer() const;
   // Peers that are linked, silent ones as well.
   std::size_t count() const { return m_peers.size(); }
   // The most processor that a living peer may use that, as far as is known, reaches the store.
--- a/Source/Core/Node/ComeBack.cpp
+++ b/Source/Core/Node/RetryAfter.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Node/ComeBack.h"
+#include "Node/RetryAfter.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 constexpr std::chrono::seconds k_longest_backlog{10};
 } // namespace
 
-std::chrono::seconds come_back_after(std::uint32_t priority, const std::string& id)
+std::chrono::seconds default_retry_after(std::uint32_t priority, const std::string& id)
 {
   if (priority == 0)
     return k_soonest;
@@ -26,13 +26,13 @@
   return k_soonest + std::chrono::seconds(later);
 }
 
-std::chrono::seconds come_back_after_backlog(std::uint32_t priority, const std::string& id,
-                                             std::chrono::milliseconds excess)
+std::chrono::seconds retry_after_overload(std::uint32_t priority, const std::string& id,
+                                          std::chrono::milliseconds excess)
 {
   const auto worked_off =
       std::clamp(std::chrono::ceil<std::chrono::seconds>(excess), k_soonest, k_longest_backlog);
   const auto spread = static_cast<std::uint64_t>(worked_off.count()) + 1;
   const std::chrono::seconds share(common::stable_hash(id) % spread);
-  return come_back_after(priority, id) + worked_off - k_soonest + share;
+  return default_retry_after(priority, id) + worked_off - k_soonest + share;
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/EarlyCalls.cpp
+++ b/Source/Core/Node/StartupRequests.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Node/EarlyCalls.h"
+#include "Node/StartupRequests.h"
 
 #include <utility>
 
@@ -13,12 +13,12 @@
 constexpr std::chrono::milliseconds k_patience{400};
 } // namespace
 
-early_calls::early_calls(common::timekeeper& time) : m_patience(time)
+startup_requests::startup_requests(common::timekeeper& time) : m_patience(time)
 {
   m_patience.start(k_patience, [this] { release(); });
 }
 
-bool early_calls::hold(std::function<void()> call)
+bool startup_requests::hold(std::function<void()> call)
 {
   if (m_released)
     return false;
@@ -26,7 +26,7 @@
   return true;
 }
 
-void early_calls::release()
+void startup_requests::release()
 {
   m_released = true;
   m_patience.cancel();
--- a/Source/Core/Node/EarlyCalls.h
+++ b/Source/Core/Node/StartupRequests.h
@@ -15,11 +15,11 @@
 
 namespace yardhill::node
 {
-class early_calls
+class startup_requests
 {
 public:
   // The instance has just started.
-  explicit early_calls(common::timekeeper& time);
+  explicit startup_requests(common::timekeeper& time);
 
   // Whether `call` is kept, to be made by release() or when the configuration is late; false once
   // either has happened.
--- a/Source/Core/Node/StorePath.cpp
+++ b/Source/Core/Node/StorePath.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "Common/EventLog.h"
-#include "Node/CopiedCall.h"
+#include "Node/DuplicatedRequest.h"
 
 namespace yardhill::node
 {
@@ -133,7 +133,7 @@
 void store_path::send(http::request call, common::duration timeout, http::reply_handler done)
 {
   // A slow store is slow for the peers as well; they say so.
-  if (m_bad_since || isolated() || (in_doubt() && m_peers.way_through()))
+  if (m_bad_since || isolated() || (in_doubt() && m_peers.relay_peer()))
   {
     relay(std::move(call), timeout, std::move(done));
     return;
@@ -167,7 +167,7 @@
 // The store has fallen silent for this instance, and a peer says that it has not for the peer.
 void store_path::copy_overdue_calls()
 {
-  if (m_bad_since || !in_doubt() || !m_peers.way_through())
+  if (m_bad_since || !in_doubt() || !m_peers.relay_peer())
     return;
   const common::time_point now = m_time.now();
   for (auto& [number, each] : m_under_way)
@@ -176,7 +176,7 @@
     if (each.copied || now - each.began <= patience() || left <= k_relay_way)
       continue;
     each.copied = true;
-    const auto both = std::make_shared<copied_call>(std::move(each.done));
+    const auto both = std::make_shared<duplicated_request>(std::move(each.done));
     each.done = [both](const http::reply& answer) { both->answered(answer); };
     relay(each.call, left, each.done);
   }
@@ -184,7 +184,7 @@
 
 void store_path::relay(http::request call, common::duration timeout, http::reply_handler done)
 {
-  const auto peer = m_peers.way_through();
+  const auto peer = m_peers.relay_peer();
   if (!peer || timeout <= k_relay_way)
   {
     m_time.post([done = std::move(done)] { done(no_way()); });
--- a/Source/UnitTests/Node/AdmissionTest.cpp
+++ b/Source/UnitTests/Node/AdmissionTest.cpp
@@ -14,9 +14,9 @@
 
 #include "Node/Admission.h"
 #include "Node/CallerGateway.h"
-#include "Node/ComeBack.h"
 #include "Node/JobStoreHarness.h"
 #include "Node/OwnerHarness.h"
+#include "Node/RetryAfter.h"
 #include "platform/Ingress.h"
 
 using namespace yardhill;
@@ -72,7 +72,8 @@
   node::job_store jobs{time, store, store};
   std::vector<std::unique_ptr<node::partition_owner>> partitions;
   node::layout_keeper keeper{time, store, 0};
-  node::state_desk states{time, [](const std::string&, const common::peer_message&) {}, partitions};
+  node::job_state_queries states{time, [](const std::string&, const common::peer_message&) {},
+                                 partitions};
   std::optional<node::caller_gateway> gateway;
   std::optional<http::outgoing_answer> got;
 
@@ -180,14 +181,14 @@
   for (int i = 10; i < 100; ++i)
   {
     const std::string id = "00000000000000" + std::to_string(i);
-    const seconds after = node::come_back_after_backlog(2, id, milliseconds{3500});
+    const seconds after = node::retry_after_overload(2, id, milliseconds{3500});
     BOOST_TEST((after >= seconds{4}));
-    BOOST_TEST((node::come_back_after_backlog(0, id, milliseconds{3500}) < after));
+    BOOST_TEST((node::retry_after_overload(0, id, milliseconds{3500}) < after));
     usual.insert(after);
   }
   BOOST_TEST(usual.size() > 3U); // not all at once
-  BOOST_TEST((node::come_back_after_backlog(0, k_id, milliseconds{0}) >= seconds{1}));
-  BOOST_TEST((node::come_back_after_backlog(2, k_id, std::chrono::hours{1}) < seconds{30}));
+  BOOST_TEST((node::retry_after_overload(0, k_id, milliseconds{0}) >= seconds{1}));
+  BOOST_TEST((node::retry_after_overload(2, k_id, std::chrono::hours{1}) < seconds{30}));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_job_that_would_begin_too_late_is_refused_at_once, gateway_under_test)
--- a/Source/UnitTests/Node/StateDeskTest.cpp
+++ b/Source/UnitTests/Node/JobStateQueriesTest.cpp
@@ -7,8 +7,8 @@
 
 #include <boost/test/unit_test.hpp>
 
+#include "Node/JobStateQueries.h"
 #include "Node/OwnerHarness.h"
-#include "Node/StateDesk.h"
 
 using namespace yardhill;
 using std::chrono::milliseconds;
@@ -34,23 +34,23 @@
   std::vector<std::unique_ptr<node::partition_owner>> owning;
   std::vector<std::unique_ptr<node::partition_owner>> following;
   bool cut = false;
-  node::state_desk at_owner{own.time,
-                            [this](const std::string&, const common::peer_message& message)
-                            {
-                              if (!cut)
-                                asker.on_reply("instance-1",
-                                               std::get<common::state_reply>(message));
-                            },
-                            owning};
-  node::state_desk asker{own.time,
-                         [this](const std::string& peer, const common::peer_message& message)
-                         {
-                           BOOST_TEST(peer == "instance-1");
-                           if (!cut)
-                             at_owner.on_question("instance-2",
-                                                  std::get<common::state_question>(message));
-                         },
-                         following};
+  node::job_state_queries at_owner{own.time,
+                                   [this](const std::string&, const common::peer_message& message)
+                                   {
+                                     if (!cut)
+                                       asker.on_reply("instance-1",
+                                                      std::get<common::state_reply>(message));
+                                   },
+                                   owning};
+  node::job_state_queries asker{own.time,
+                                [this](const std::string& peer, const common::peer_message& message)
+                                {
+                                  BOOST_TEST(peer == "instance-1");
+                                  if (!cut)
+                                    at_owner.on_question("instance-2",
+                                                         std::get<common::state_question>(message));
+                                },
+                                following};
   bool answered = false;
   std::optional<jobs::job_state> state;
 
@@ -77,7 +77,7 @@
 };
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(StateDeskTest)
+BOOST_AUTO_TEST_SUITE(JobStateQueriesTest)
 
 BOOST_FIXTURE_TEST_CASE(the_owner_tells_the_state_of_a_job_it_knows, two_instances)
 {
--- a/Source/UnitTests/Node/SeenCapacitiesTest.cpp
+++ b/Source/UnitTests/Node/KnownCapacitiesTest.cpp
@@ -3,8 +3,8 @@
 
 #include <boost/test/unit_test.hpp>
 
+#include "Node/KnownCapacities.h"
 #include "Node/OwnerRow.h"
-#include "Node/SeenCapacities.h"
 
 using namespace yardhill;
 
@@ -29,17 +29,17 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(SeenCapacitiesTest)
+BOOST_AUTO_TEST_SUITE(KnownCapacitiesTest)
 
 BOOST_AUTO_TEST_CASE(nothing_is_refused_before_a_worker_is_seen)
 {
-  const node::seen_capacities seen;
+  const node::known_capacities seen;
   BOOST_TEST(!seen.never_fits("docbuild", job(1000000, 1)).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_task_far_larger_than_every_worker_never_fits)
 {
-  node::seen_capacities seen;
+  node::known_capacities seen;
   seen.note(worker(16000, 8000));
   seen.note(worker(4000, 64000));
   seen.note(worker(2000, 4000));
@@ -56,7 +56,7 @@
 // Instances that own nothing know of workers by the owner's row alone.
 BOOST_AUTO_TEST_CASE(what_an_owner_has_seen_is_told_by_its_row)
 {
-  node::seen_capacities owner;
+  node::known_capacities owner;
   owner.note(worker(8000, 16000));
   owner.note(worker(16000, 32000));
   node::owner_row row;
@@ -65,8 +65,8 @@
   row.largest = owner.largest();
   const auto read = node::owner_row_from(node::to_row_text(row));
   BOOST_TEST_REQUIRE(read.has_value());
-  node::seen_capacities other;
-  other.note_all(read->largest);
+  node::known_capacities other;
+  other.add_all(read->largest);
   BOOST_TEST(!other.never_fits("docbuild", job(32000, 1000)).has_value());
   BOOST_TEST(other.never_fits("docbuild", job(32001, 1000)).has_value());
   BOOST_TEST(!other.never_fits("another", job(32001, 1000)).has_value());
--- a/Source/UnitTests/Node/OwnerHarness.h
+++ b/Source/UnitTests/Node/OwnerHarness.h
@@ -82,11 +82,11 @@
                   [](const std::string&, const common::peer_message&) {}};
   adapter::worker_client workers{time, nobody, metrics};
   adapter::advice_client advice_client{nobody, {}};
-  advice_desk desk{time, advice_client};
+  advice_queue desk{time, advice_client};
   advice_pool advice{time, desk, [](const std::string&, const common::peer_message&) {}};
   std::map<std::string, scheduling::worker_info> entries;
   bool entries_known = true;
-  seen_capacities capacities;
+  known_capacities capacities;
   loop_monitor loop;
   jobs::queue_table queues;
   cell_layout layout{1};
--- a/Source/UnitTests/Node/PeerMonitorTest.cpp
+++ b/Source/UnitTests/Node/PeerMonitorTest.cpp
@@ -73,7 +73,7 @@
   peers.linked("peer", "other");
   pass(milliseconds{800}, true);
   BOOST_TEST(events == (names{"+peer", "-peer"}), boost::test_tools::per_element());
-  BOOST_TEST(!peers.way_through().has_value());
+  BOOST_TEST(!peers.relay_peer().has_value());
   peers.heard("peer");
   BOOST_TEST(events == (names{"+peer", "-peer", "+peer"}), boost::test_tools::per_element());
 }
@@ -310,7 +310,7 @@
                              {[](const std::string&) {}, [](const std::string&) {}}};
     for (int each = 0; each < 146; ++each)
       other.linked("instance-" + std::to_string(each), "zone");
-    ways.insert(*other.way_through());
+    ways.insert(*other.relay_peer());
   }
   BOOST_TEST(ways.size() >= 15U);
 }
@@ -324,7 +324,7 @@
     peers.on_question("a", {false}, {true});
     peers.on_question("b", {false}, {true});
     peers.on_question(owner, {true}, {true});
-    BOOST_TEST(*peers.way_through() != owner);
+    BOOST_TEST(*peers.relay_peer() != owner);
   }
 }
 
--- a/Source/UnitTests/Node/ComeBackTest.cpp
+++ b/Source/UnitTests/Node/RetryAfterTest.cpp
@@ -6,12 +6,12 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "Node/ComeBack.h"
+#include "Node/RetryAfter.h"
 
 using std::chrono::seconds;
-using yardhill::node::come_back_after;
+using yardhill::node::default_retry_after;
 
-BOOST_AUTO_TEST_SUITE(ComeBackTest)
+BOOST_AUTO_TEST_SUITE(RetryAfterTest)
 
 BOOST_AUTO_TEST_CASE(urgent_callers_return_before_all_others)
 {
@@ -19,9 +19,9 @@
   for (int i = 0; i < 100; ++i)
   {
     const std::string id = "00000000000000" + std::to_string(10 + i % 90);
-    BOOST_TEST((come_back_after(0, id) == seconds{1}));
-    others.insert(come_back_after(1, id));
-    others.insert(come_back_after(2, id));
+    BOOST_TEST((default_retry_after(0, id) == seconds{1}));
+    others.insert(default_retry_after(1, id));
+    others.insert(default_retry_after(2, id));
   }
   BOOST_TEST((*others.begin() > seconds{1}));
   BOOST_TEST(others.size() == 2U); // not all at once
@@ -29,7 +29,8 @@
 
 BOOST_AUTO_TEST_CASE(a_job_is_told_the_same_time_by_every_instance)
 {
-  BOOST_TEST((come_back_after(2, "0123456789abcdef") == come_back_after(2, "0123456789abcdef")));
+  BOOST_TEST(
+      (default_retry_after(2, "0123456789abcdef") == default_retry_after(2, "0123456789abcdef")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
