--- a/Source/Core/Node/Admission.h
+++ b/Source/Core/Node/Admission.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Whether a new job is worth accepting while its partition's owner is overloaded.
+// Admission control: decides whether a new job is accepted while its partition's owner is
+// overloaded.
 
 #include <chrono>
 #include <optional>
@@ -13,8 +14,9 @@
 
 namespace yardhill::node
 {
-// How much later than it may the job would begin to be worth anything, by what the owner told; none
-// if it is accepted. Jobs that last, or that are due later, are worth accepting at any time.
+// Returns by how much the job's expected start, from the waits that `owner` reports, lies after the
+// latest start at which the job still has any value; none if the job is accepted. Long-running jobs
+// and repeating jobs, which are due later, are always accepted.
 std::optional<std::chrono::milliseconds>
 excess_wait(const jobs::queue_policy& policy, const jobs::job_spec& spec, const owner_row& owner);
 } // namespace yardhill::node
--- a/Source/Core/Node/AdvicePool.cpp
+++ b/Source/Core/Node/AdvicePool.cpp
@@ -14,99 +14,101 @@
 {
 namespace
 {
-// Of all instances, this share (in hundredths) is kept free of long calls: long calls make up three
-// quarters of the service's time at the sites.
-constexpr std::size_t k_short_share = 40;
-// Short calls in line at one instance: the second covers the way to a peer and back.
-constexpr std::size_t k_short_line = 2;
-// An answer from a peer is overdue this long after twice the time of its line. Asking again costs
-// the service the first call's time as well, so a slow peer is waited for.
+// Share of all instances that is reserved for short calls. Long calls make up three quarters of the
+// service's time at the sites.
+constexpr std::size_t k_short_share_percent = 40;
+// Short calls sent to one instance at a time. The second call covers the round trip to the peer.
+constexpr std::size_t k_short_calls_per_instance = 2;
+// A peer's reply is overdue after twice the expected time of all calls sent to the peer plus this
+// slack. A repeated call costs the service the time of the first call as well, so a slow peer is
+// given this long.
 constexpr std::chrono::milliseconds k_overdue_slack{1500};
-// A peer whose answer was overdue is not asked for this time.
-constexpr std::chrono::seconds k_avoid{2};
+// A peer whose reply was overdue gets no calls for this time.
+constexpr std::chrono::seconds k_avoid_time{2};
 } // namespace
 
-advice_pool::advice_pool(common::timekeeper& time, advice_queue& own, sender send)
-    : m_time(time), m_own(own), m_send(std::move(send))
+advice_pool::advice_pool(common::timekeeper& time, advice_queue& own_queue, sender send)
+    : m_time(time), m_own_queue(own_queue), m_send(std::move(send))
 {
-  m_helpers.push_back({});
+  m_instances.push_back({});
 }
 
-std::size_t advice_pool::kept_free() const
+std::size_t advice_pool::reserved_for_short() const
 {
-  if (m_helpers.size() == 1)
+  if (m_instances.size() == 1)
     return 0;
-  return std::max<std::size_t>(1, m_helpers.size() * k_short_share / 100);
+  return std::max<std::size_t>(1, m_instances.size() * k_short_share_percent / 100);
 }
 
 scheduling::advice_slots advice_pool::slots(common::time_point now) const
 {
   scheduling::advice_slots free{0, 0};
-  for (std::size_t i = 0; i < m_helpers.size(); ++i)
+  for (std::size_t i = 0; i < m_instances.size(); ++i)
   {
-    if (m_helpers[i].avoid_until > now)
+    if (m_instances[i].avoid_until > now)
       continue;
-    free.long_calls += i >= kept_free() ? 1 : 0;
-    free.short_calls += i < kept_free() || m_helpers.size() == 1 ? k_short_line : 0;
+    free.long_calls += i >= reserved_for_short() ? 1 : 0;
+    free.short_calls +=
+        i < reserved_for_short() || m_instances.size() == 1 ? k_short_calls_per_instance : 0;
   }
   return {std::max<std::size_t>(1, free.short_calls), std::max<std::size_t>(1, free.long_calls)};
 }
 
-advice_pool::helper& advice_pool::choose(std::chrono::milliseconds expected)
+advice_pool::instance& advice_pool::choose_instance(std::chrono::milliseconds expected)
 {
   const common::time_point now = m_time.now();
-  const std::size_t first = expected >= scheduling::k_long_advice ? kept_free() : 0;
-  helper* best = nullptr;
-  for (std::size_t i = first; i < m_helpers.size(); ++i)
+  const std::size_t first = expected >= scheduling::k_long_advice ? reserved_for_short() : 0;
+  instance* best = nullptr;
+  for (std::size_t i = first; i < m_instances.size(); ++i)
   {
-    helper& each = m_helpers[i];
+    instance& each = m_instances[i];
     if (each.avoid_until > now)
       continue;
     if (best == nullptr ||
         std::tie(each.backlog, each.preference) < std::tie(best->backlog, best->preference))
       best = &each;
   }
-  return best == nullptr ? m_helpers.front() : *best;
+  return best == nullptr ? m_instances.front() : *best;
 }
 
-void advice_pool::ask(scheduling::advice_command question, advice_queue::answer_handler done)
+void advice_pool::ask(scheduling::advice_command command, advice_queue::answer_handler done)
 {
-  helper& chosen = choose(question.expected);
+  instance& chosen = choose_instance(command.expected);
   if (chosen.peer.empty())
   {
-    ask_own(chosen, std::move(question), std::move(done));
+    ask_directly(chosen, std::move(command), std::move(done));
     return;
   }
   common::advice_request request;
-  request.number = ++m_number;
-  request.job = question.step.job;
-  request.cycle = question.step.cycle;
-  request.step = question.step.step;
-  request.expected_ms = static_cast<std::uint32_t>(question.expected.count());
-  for (const common::worker_id& worker : question.workers)
+  request.number = ++m_last_number;
+  request.job = command.step.job;
+  request.cycle = command.step.cycle;
+  request.step = command.step.step;
+  request.expected_ms = static_cast<std::uint32_t>(command.expected.count());
+  for (const common::worker_id& worker : command.workers)
     request.workers.push_back(worker.value);
-  chosen.backlog += question.expected;
-  const common::time_point overdue = m_time.now() + 2 * chosen.backlog + k_overdue_slack;
-  m_asked[chosen.peer][request.number] = {std::move(question), std::move(done), overdue};
+  chosen.backlog += command.expected;
+  const common::time_point deadline = m_time.now() + 2 * chosen.backlog + k_overdue_slack;
+  m_pending[chosen.peer][request.number] = {std::move(command), std::move(done), deadline};
   m_send(chosen.peer, request);
 }
 
-void advice_pool::ask_own(helper& self, scheduling::advice_command question,
-                          advice_queue::answer_handler done)
+void advice_pool::ask_directly(instance& self, scheduling::advice_command command,
+                               advice_queue::answer_handler done)
 {
-  const auto expected = question.expected;
+  const auto expected = command.expected;
   self.backlog += expected;
-  m_own.ask(std::move(question),
-            [this, expected, done = std::move(done)](scheduling::advice_answer answer)
-            {
-              settle({}, expected);
-              done(std::move(answer));
-            });
+  m_own_queue.ask(std::move(command),
+                  [this, expected, done = std::move(done)](scheduling::advice_answer answer)
+                  {
+                    subtract_backlog({}, expected);
+                    done(std::move(answer));
+                  });
 }
 
-void advice_pool::settle(const std::string& peer, std::chrono::milliseconds expected)
+void advice_pool::subtract_backlog(const std::string& peer, std::chrono::milliseconds expected)
 {
-  for (helper& each : m_helpers)
+  for (instance& each : m_instances)
   {
     if (each.peer == peer)
       each.backlog = std::max(std::chrono::milliseconds{0}, each.backlog - expected);
@@ -115,16 +117,16 @@
 
 void advice_pool::peer_linked(const std::string& peer)
 {
-  const auto known = std::find_if(m_helpers.begin(), m_helpers.end(),
-                                  [&peer](const helper& each) { return each.peer == peer; });
-  if (known != m_helpers.end())
+  const auto known = std::find_if(m_instances.begin(), m_instances.end(),
+                                  [&peer](const instance& each) { return each.peer == peer; });
+  if (known != m_instances.end())
     return;
-  helper added;
+  instance added;
   added.peer = peer;
-  place(std::move(added));
+  insert_by_rank(std::move(added));
 }
 
-void advice_pool::place(helper each)
+void advice_pool::insert_by_rank(instance each)
 {
   if (m_own_name)
   {
@@ -133,64 +135,64 @@
     each.preference = common::stable_hash(name, common::stable_hash(*m_own_name));
   }
   const auto behind =
-      std::upper_bound(m_helpers.begin(), m_helpers.end(), each.rank,
-                       [](std::uint64_t rank, const helper& other) { return rank < other.rank; });
-  m_helpers.insert(behind, std::move(each));
+      std::upper_bound(m_instances.begin(), m_instances.end(), each.rank,
+                       [](std::uint64_t rank, const instance& other) { return rank < other.rank; });
+  m_instances.insert(behind, std::move(each));
 }
 
 void advice_pool::share_with_other_owners(const std::string& own_name)
 {
   m_own_name = own_name;
-  for (helper& each : std::exchange(m_helpers, {}))
-    place(std::move(each));
+  for (instance& each : std::exchange(m_instances, {}))
+    insert_by_rank(std::move(each));
 }
 
 void advice_pool::peer_unlinked(const std::string& peer)
 {
-  m_helpers.erase(std::remove_if(m_helpers.begin(), m_helpers.end(),
-                                 [&peer](const helper& each)
-                                 { return !peer.empty() && each.peer == peer; }),
-                  m_helpers.end());
-  auto orphaned = m_asked.extract(peer);
+  m_instances.erase(std::remove_if(m_instances.begin(), m_instances.end(),
+                                   [&peer](const instance& each)
+                                   { return !peer.empty() && each.peer == peer; }),
+                    m_instances.end());
+  auto orphaned = m_pending.extract(peer);
   if (orphaned.empty())
     return;
   for (auto& [number, each] : orphaned.mapped())
-    ask(std::move(each.question), std::move(each.done));
+    ask(std::move(each.command), std::move(each.done));
 }
 
 void advice_pool::on_request(const std::string& peer, const common::advice_request& request)
 {
-  scheduling::advice_command question;
-  question.step = {request.job, request.cycle, request.step};
-  question.expected = std::chrono::milliseconds(request.expected_ms);
+  scheduling::advice_command command;
+  command.step = {request.job, request.cycle, request.step};
+  command.expected = std::chrono::milliseconds(request.expected_ms);
   for (const std::string& worker : request.workers)
-    question.workers.emplace_back(worker);
-  m_own.ask(std::move(question),
-            [this, peer, number = request.number](const scheduling::advice_answer& answer)
-            {
-              common::advice_reply reply;
-              reply.number = number;
-              reply.answered = answer.answered;
-              reply.valid_ms = static_cast<std::uint32_t>(answer.valid.count());
-              for (const scheduling::admission_ticket& each : answer.permitted)
-                reply.permitted.push_back({each.worker.value, each.ticket});
-              m_send(peer, reply);
-            });
+    command.workers.emplace_back(worker);
+  m_own_queue.ask(std::move(command),
+                  [this, peer, number = request.number](const scheduling::advice_answer& answer)
+                  {
+                    common::advice_reply reply;
+                    reply.number = number;
+                    reply.answered = answer.answered;
+                    reply.valid_ms = static_cast<std::uint32_t>(answer.valid.count());
+                    for (const scheduling::admission_ticket& each : answer.permitted)
+                      reply.permitted.push_back({each.worker.value, each.ticket});
+                    m_send(peer, reply);
+                  });
 }
 
 void advice_pool::on_reply(const std::string& peer, const common::advice_reply& reply)
 {
-  const auto asked = m_asked.find(peer);
-  if (asked == m_asked.end())
+  const auto of_peer = m_pending.find(peer);
+  if (of_peer == m_pending.end())
     return;
-  auto found = asked->second.extract(reply.number);
+  auto found = of_peer->second.extract(reply.number);
   if (found.empty())
-    return; // given up before
-  outstanding each = std::move(found.mapped());
-  settle(peer, each.question.expected);
+    return; // the call was given up before its reply came
+  pending_request each = std::move(found.mapped());
+  subtract_backlog(peer, each.command.expected);
   scheduling::advice_answer answer;
-  answer.step = each.question.step;
-  answer.asked = each.question.workers;
+  answer.step = each.command.step;
+  answer.asked = each.command.workers;
   answer.answered = reply.answered;
   answer.valid = std::chrono::milliseconds(reply.valid_ms);
   answer.received = m_time.now();
@@ -201,28 +203,28 @@
 
 void advice_pool::tick(common::time_point now)
 {
-  std::vector<outstanding> overdue;
-  for (auto& [peer, calls] : m_asked)
+  std::vector<pending_request> overdue;
+  for (auto& [peer, calls] : m_pending)
   {
     for (auto each = calls.begin(); each != calls.end();)
     {
-      if (each->second.overdue > now)
+      if (each->second.deadline > now)
       {
         ++each;
         continue;
       }
-      settle(peer, each->second.question.expected);
-      for (helper& slow : m_helpers)
+      subtract_backlog(peer, each->second.command.expected);
+      for (instance& slow : m_instances)
       {
         if (slow.peer == peer)
-          slow.avoid_until = now + k_avoid;
+          slow.avoid_until = now + k_avoid_time;
       }
       common::log_process("advice_overdue", {{"peer", peer}});
       overdue.push_back(std::move(each->second));
       each = calls.erase(each);
     }
   }
-  for (outstanding& each : overdue)
-    ask(std::move(each.question), std::move(each.done));
+  for (pending_request& each : overdue)
+    ask(std::move(each.command), std::move(each.done));
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/AdviceQueue.cpp
+++ b/Source/Core/Node/AdviceQueue.cpp
@@ -9,7 +9,8 @@
 {
 namespace
 {
-// The service may be slower than its configured time; beyond this factor and slack a call is lost.
+// The service may be slower than its configured time. A call without an answer after its expected
+// time multiplied by this factor plus this slack counts as lost.
 constexpr int k_timeout_factor = 2;
 constexpr std::chrono::milliseconds k_timeout_slack{700};
 } // namespace
@@ -19,36 +20,36 @@
 {
 }
 
-void advice_queue::ask(scheduling::advice_command question, answer_handler done)
+void advice_queue::ask(scheduling::advice_command command, answer_handler done)
 {
-  const auto expected = question.expected;
-  m_waiting.emplace(expected, waiting{std::move(question), std::move(done), m_time.now()});
-  next();
+  const auto expected = command.expected;
+  m_queue.emplace(expected, queued_call{std::move(command), std::move(done), m_time.now()});
+  start_next();
 }
 
 std::chrono::milliseconds advice_queue::backlog() const
 {
-  std::chrono::milliseconds sum = m_under_way;
-  for (const auto& [expected, each] : m_waiting)
+  std::chrono::milliseconds sum = m_in_flight;
+  for (const auto& [expected, each] : m_queue)
     sum += expected;
   return sum;
 }
 
-void advice_queue::next()
+void advice_queue::start_next()
 {
-  if (m_busy || m_waiting.empty())
+  if (m_busy || m_queue.empty())
     return;
-  auto first = m_waiting.extract(m_waiting.begin());
-  waiting call = std::move(first.mapped());
+  auto first = m_queue.extract(m_queue.begin());
+  queued_call call = std::move(first.mapped());
   m_busy = true;
-  m_under_way = first.key();
-  m_client.ask(call.question, first.key() * k_timeout_factor + k_timeout_slack,
+  m_in_flight = first.key();
+  m_client.ask(call.command, first.key() * k_timeout_factor + k_timeout_slack,
                [this, done = std::move(call.done)](scheduling::advice_answer answer)
                {
                  m_busy = false;
-                 m_under_way = std::chrono::milliseconds{0};
+                 m_in_flight = std::chrono::milliseconds{0};
                  answer.received = m_time.now();
-                 next();
+                 start_next();
                  done(std::move(answer));
                });
 }
--- a/Source/Core/Node/AdviceQueue.h
+++ b/Source/Core/Node/AdviceQueue.h
@@ -3,8 +3,9 @@
 
 #pragma once
 
-// Calls for advice, one at a time, since the service takes this instance's calls in turn: the
-// shortest first, so that what somebody waits for is not held up by long ones.
+// Sends calls to the advice service one at a time, since the service handles the calls of one
+// instance in turn. The call with the shortest expected time goes first, so that calls for which
+// somebody is waiting are not held up by long ones.
 
 #include <functional>
 #include <map>
@@ -21,24 +22,24 @@
 
   advice_queue(common::timekeeper& time, adapter::advice_client& client);
 
-  void ask(scheduling::advice_command question, answer_handler done);
-  // How long the calls in line and under way take together.
+  void ask(scheduling::advice_command command, answer_handler done);
+  // The expected time of all queued calls and of the call in flight together.
   std::chrono::milliseconds backlog() const;
 
 private:
-  struct waiting
+  struct queued_call
   {
-    scheduling::advice_command question;
+    scheduling::advice_command command;
     answer_handler done;
-    common::time_point asked;
+    common::time_point queued_at;
   };
 
-  void next();
+  void start_next();
 
   common::timekeeper& m_time;
   adapter::advice_client& m_client;
-  std::multimap<std::chrono::milliseconds, waiting> m_waiting; // by expected time
-  std::chrono::milliseconds m_under_way{0};
+  std::multimap<std::chrono::milliseconds, queued_call> m_queue; // by expected service time
+  std::chrono::milliseconds m_in_flight{0}; // expected time of the call in flight
   bool m_busy = false;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/AsioTimekeeper.cpp
+++ b/Source/Core/Node/AsioTimekeeper.cpp
@@ -20,24 +20,24 @@
 }
 
 common::timekeeper::entry asio_timekeeper::schedule(common::duration delay,
-                                                    std::function<void()> what)
+                                                    std::function<void()> callback)
 {
-  const entry number = ++m_last;
-  m_entries[number] = m_queue.add(http::timer_queue::clock::now() + delay,
-                                  [this, number, what = std::move(what)]
-                                  {
-                                    m_entries.erase(number);
-                                    what();
-                                  });
+  const entry number = ++m_last_entry;
+  m_scheduled[number] = m_queue.add(http::timer_queue::clock::now() + delay,
+                                    [this, number, callback = std::move(callback)]
+                                    {
+                                      m_scheduled.erase(number);
+                                      callback();
+                                    });
   return number;
 }
 
-void asio_timekeeper::cancel(entry which)
+void asio_timekeeper::cancel(entry id)
 {
-  const auto found = m_entries.find(which);
-  if (found == m_entries.end())
+  const auto found = m_scheduled.find(id);
+  if (found == m_scheduled.end())
     return;
   m_queue.remove(found->second);
-  m_entries.erase(found);
+  m_scheduled.erase(found);
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/CallerGateway.cpp
+++ b/Source/Core/Node/CallerGateway.cpp
@@ -18,23 +18,23 @@
 {
 using common::refusal_reason;
 
-// For callers that do not say how long they wait; the sites' usual deadline.
-constexpr std::chrono::milliseconds k_usual_patience{3000};
-// An answer has to reach the caller before its patience ends.
+// For callers that send no deadline; the usual deadline at the sites.
+constexpr std::chrono::milliseconds k_default_caller_timeout{3000};
+// An answer has to reach the caller before the caller's timeout ends.
 constexpr std::chrono::milliseconds k_answer_margin{150};
 constexpr std::chrono::milliseconds k_read_timeout{900};
-// Callers may be told counts that are up to 2 s old (the platform's bound); the rest is for the
-// way.
-constexpr std::chrono::milliseconds k_oldest_count{1800};
-// Homes remembered to save a read of the job's row; about 2 MB when full.
-constexpr std::size_t k_most_homes = 20000;
+// Callers may be given counts that are up to 2 s old (the platform's bound); the remaining 200 ms
+// are for the transfer of the answer to the caller.
+constexpr std::chrono::milliseconds k_max_count_age{1800};
+// How many jobs' homes are remembered, each to save a read of the job's row; about 2 MB when full.
+constexpr std::size_t k_max_remembered_homes = 20000;
 
-std::chrono::milliseconds patience_from(const std::string& text)
+std::chrono::milliseconds parse_timeout(const std::string& text)
 {
   std::int64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || value <= 0)
-    return k_usual_patience;
+    return k_default_caller_timeout;
   return std::chrono::milliseconds(value);
 }
 
@@ -62,55 +62,57 @@
       m_partitions(partitions),
       m_metrics(counts),
       m_started(time.now()),
-      m_early(time)
+      m_startup_requests(time)
 {
 }
 
-std::chrono::milliseconds caller_gateway::patience_of(const http::incoming_request& request) const
+std::chrono::milliseconds caller_gateway::timeout_of(const http::incoming_request& request) const
 {
-  const std::chrono::milliseconds callers = patience_from(request.noted_header);
-  if (!m_end)
-    return callers;
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(*m_end - m_time.now());
-  return std::clamp(left, std::chrono::milliseconds{0}, callers);
+  const std::chrono::milliseconds caller_timeout = parse_timeout(request.noted_header);
+  if (!m_stop_deadline)
+    return caller_timeout;
+  const auto left =
+      std::chrono::duration_cast<std::chrono::milliseconds>(*m_stop_deadline - m_time.now());
+  return std::clamp(left, std::chrono::milliseconds{0}, caller_timeout);
 }
 
 void caller_gateway::handle(http::incoming_request request, http::responder respond)
 {
   m_metrics.add(common::counter::requests);
-  auto what = std::make_shared<call>();
-  what->respond = std::move(respond);
-  what->received = m_time.now();
-  what->known = m_store.version_so_far();
-  what->patience = patience_of(request);
-  what->body = std::move(request.body);
-  if (!may_serve() && m_early.hold([this, what, request] { dispatch(what, request); }))
+  auto call = std::make_shared<caller_call>();
+  call->respond = std::move(respond);
+  call->received = m_time.now();
+  call->known_version = m_store.version_so_far();
+  call->timeout = timeout_of(request);
+  call->body = std::move(request.body);
+  if (!may_serve() &&
+      m_startup_requests.enqueue([this, call, request] { dispatch(call, request); }))
     return;
-  dispatch(what, request);
+  dispatch(call, request);
 }
 
-void caller_gateway::release_early()
+void caller_gateway::release_startup_requests()
 {
   if (may_serve())
-    m_early.release();
+    m_startup_requests.release();
 }
 
-void caller_gateway::dispatch(const std::shared_ptr<call>& what,
+void caller_gateway::dispatch(const std::shared_ptr<caller_call>& call,
                               const http::incoming_request& request)
 {
   if (m_queues.version == 0)
   {
-    refuse_unconfigured(*what, request.verb, "no configuration has arrived yet");
+    refuse_unconfigured(*call, request.verb, "no configuration has arrived yet");
     return;
   }
   if (m_partitions.empty())
   {
-    refuse_unconfigured(*what, request.verb, "the cell's partitions are not known yet");
+    refuse_unconfigured(*call, request.verb, "the cell's partitions are not known yet");
     return;
   }
-  if (m_configuration.late())
+  if (m_configuration.may_be_outdated())
   {
-    refuse_unconfigured(*what, request.verb, "a newer configuration may be due here");
+    refuse_unconfigured(*call, request.verb, "a newer configuration may be due here");
     return;
   }
   const std::string path = request.target.substr(0, request.target.find('?'));
@@ -118,56 +120,57 @@
   const jobs::queue_route* const route = m_queues.find(host, path);
   if (route == nullptr)
   {
-    refuse(*what, {404, refusal_reason::unknown_workload, "no such queue"});
+    refuse(*call, {404, refusal_reason::unknown_workload, "no such queue"});
     return;
   }
-  what->route = *route;
-  what->id = path.substr(what->route->path_prefix.size());
-  if (what->id.empty() && request.verb == http::method::get)
-    count(*what);
-  else if (!adapter::is_job_id(what->id))
-    refuse(*what, {400, refusal_reason::malformed_request, "a job's id has 16 hexadecimal digits"});
+  call->route = *route;
+  call->id = path.substr(call->route->path_prefix.size());
+  if (call->id.empty() && request.verb == http::method::get)
+    reply_with_pending_count(*call);
+  else if (!adapter::is_job_id(call->id))
+    refuse(*call, {400, refusal_reason::malformed_request, "a job's id has 16 hexadecimal digits"});
   else if (request.verb == http::method::post)
-    submit(what);
+    submit(call);
   else if (request.verb == http::method::get)
-    show(what);
+    reply_with_state(call);
   else if (request.verb == http::method::remove)
-    cancel(what);
+    cancel(call);
   else
-    refuse(*what, {405, refusal_reason::malformed_request, "no such method"});
+    refuse(*call, {405, refusal_reason::malformed_request, "no such method"});
 }
 
-void caller_gateway::refuse_unconfigured(const call& what, http::method verb,
-                                         const std::string& why)
+void caller_gateway::refuse_unconfigured(const caller_call& call, http::method verb,
+                                         const std::string& reason)
 {
-  // Another instance may have kept the job that is handed in here again.
+  // A submission may be a retry of one that another instance has stored, so the outcome is unknown.
   const unsigned status = verb == http::method::post ? 504 : 503;
-  refuse(what, {status, refusal_reason::config_invalid, why});
+  refuse(call, {status, refusal_reason::config_invalid, reason});
 }
 
-void caller_gateway::refuse(const call& what, const refusal& how)
+void caller_gateway::refuse(const caller_call& call, const refusal& rejection)
 {
-  m_metrics.add(how.why);
-  common::log_request("refused", what.id,
-                      {{"status", how.status},
-                       {"reason", common::to_text(how.why)},
-                       {"detail", how.detail},
-                       {"row", to_text(how.evidence)},
+  m_metrics.add(rejection.reason);
+  common::log_request("refused", call.id,
+                      {{"status", rejection.status},
+                       {"reason", common::to_text(rejection.reason)},
+                       {"detail", rejection.detail},
+                       {"row", to_text(rejection.evidence)},
                        {"config_version", m_queues.version},
                        {"instance_age_ms", m_time.now() - m_started},
-                       {"after_ms", m_time.now() - what.received}});
+                       {"after_ms", m_time.now() - call.received}});
   http::outgoing_answer answer;
-  answer.status = how.status;
-  answer.body = adapter::error_body(how.detail);
-  if (how.status == 503 || how.status == 504)
+  answer.status = rejection.status;
+  answer.body = adapter::error_body(rejection.detail);
+  if (rejection.status == 503 || rejection.status == 504)
   {
-    const std::uint32_t priority = what.route ? what.route->policy.priority : 0;
-    const auto after = how.come_back.value_or(default_retry_after(priority, what.id));
+    const std::uint32_t priority = call.route ? call.route->policy.priority : 0;
+    const auto after = rejection.retry_after.value_or(default_retry_after(priority, call.id));
     answer.headers.emplace_back("Retry-After", std::to_string(after.count()));
   }
-  // The caller's next try then opens a connection, which the platform takes elsewhere.
-  answer.close = m_path.isolated() || m_configuration.late();
-  what.respond(std::move(answer));
+  // The caller's next attempt then opens a new connection, which the platform routes to another
+  // instance.
+  answer.close = m_path.isolated() || m_configuration.may_be_outdated();
+  call.respond(std::move(answer));
 }
 
 partition_owner* caller_gateway::partition(const std::string& name) const
@@ -180,15 +183,16 @@
 bool caller_gateway::can_run(const partition_owner& partition, const jobs::job_spec& spec) const
 {
   const seen_owner& seen = partition.seen();
-  if (seen.version == 0 || m_time.now() - seen.changed_at > k_owner_fresh)
+  if (seen.version == 0 || m_time.now() - seen.changed_at > k_owner_row_max_age)
     return false;
   return partition.has_labels(spec);
 }
 
-// The job's first partition while that has room for more than what waits there, else the one of its
-// two that is less loaded: the loads are up to a second old, and instances that all chose the least
-// loaded partition would flood it. Where neither can run the job, any that can.
-std::string caller_gateway::home_for(const std::string& job, const jobs::job_spec& spec) const
+// A job has two candidate partitions. Its home is the first one while that has more free processor
+// capacity than its waiting tasks need, else the less loaded of the two: the reported loads are up
+// to a second old, and instances that all chose the cell's least loaded partition would overload
+// it. If neither candidate can run the job, its home is any partition that can.
+std::string caller_gateway::choose_home(const std::string& job, const jobs::job_spec& spec) const
 {
   const auto load_of = [](const partition_owner& each)
   { return each.seen().row.waiting_cpu - each.seen().row.free_cpu; };
@@ -215,51 +219,52 @@
   return best == nullptr ? m_layout.layout()->of_job(job).front() : best->partition();
 }
 
-void caller_gateway::submit(const std::shared_ptr<call>& what)
+void caller_gateway::submit(const std::shared_ptr<caller_call>& call)
 {
   if (m_path.isolated())
   {
-    // An earlier try may have been kept, here or elsewhere, and cannot be looked for.
-    refuse(*what,
+    // An earlier attempt may have been stored, here or by another instance, and cannot be looked
+    // up.
+    refuse(*call,
            {504, refusal_reason::store_unavailable, "cut off from the store and other zones"});
     return;
   }
-  auto spec = adapter::submission_from(what->body);
+  auto spec = adapter::submission_from(call->body);
   if (!spec)
   {
-    refuse(*what, {400, refusal_reason::malformed_request, common::to_text(spec.error())});
+    refuse(*call, {400, refusal_reason::malformed_request, common::to_text(spec.error())});
     return;
   }
-  if (const auto why = m_capacities.never_fits(what->route->policy.service, *spec))
+  if (const auto reason = m_capacities.never_fits(call->route->policy.service, *spec))
   {
-    refuse(*what, {422, refusal_reason::never_fits, *why});
+    refuse(*call, {422, refusal_reason::never_fits, *reason});
     return;
   }
   jobs::accepted_job job;
-  job.id = what->id;
-  job.queue = what->route->name;
+  job.id = call->id;
+  job.queue = call->route->name;
   job.spec = *std::move(spec);
-  job.home = home_for(job.id, job.spec);
+  job.home = choose_home(job.id, job.spec);
   job.accepted_at = m_time.wall();
-  const common::time_point deadline = what->received + what->patience - k_answer_margin;
-  if (shed(what, job, deadline))
+  const common::time_point deadline = call->received + call->timeout - k_answer_margin;
+  if (refuse_if_overloaded(call, job, deadline))
     return;
-  m_store.accept(job, what->known, deadline,
-                 [this, what, job](const accept_result& result)
-                 { on_accepted(what, job, result); });
+  m_store.accept(job, call->known_version, deadline,
+                 [this, call, job](const accept_result& result)
+                 { on_accepted(call, job, result); });
 }
 
-void caller_gateway::on_accepted(const std::shared_ptr<call>& what, const jobs::accepted_job& job,
-                                 const accept_result& result)
+void caller_gateway::on_accepted(const std::shared_ptr<caller_call>& call,
+                                 const jobs::accepted_job& job, const accept_result& result)
 {
   if (result.end == accept_end::refused)
   {
-    refuse(*what, {503, refusal_reason::store_unavailable, result.detail, result.evidence});
+    refuse(*call, {503, refusal_reason::store_unavailable, result.detail, result.evidence});
     return;
   }
   if (result.end == accept_end::unknown)
   {
-    refuse(*what, {504, refusal_reason::run_unclear, result.detail});
+    refuse(*call, {504, refusal_reason::run_unclear, result.detail});
     return;
   }
   common::log_request("job_accepted", job.id,
@@ -269,8 +274,8 @@
                        {"steps", job.spec.steps.size()},
                        {"config_version", m_queues.version},
                        {"row_version", result.version},
-                       {"after_ms", m_time.now() - what->received}});
-  what->respond({200, "{}", "application/json", {}});
+                       {"after_ms", m_time.now() - call->received}});
+  call->respond({200, "{}", "application/json", {}});
   if (!result.first)
     return;
   remember_home(job.id, job.home);
@@ -283,172 +288,174 @@
 
 void caller_gateway::remember_home(const std::string& id, const std::string& home)
 {
-  // Forgetting everything now and then costs one read per job that is still asked for.
-  if (m_homes.size() >= k_most_homes)
+  // Clearing the whole map now and then costs one read per job that callers still ask for.
+  if (m_homes.size() >= k_max_remembered_homes)
     m_homes.clear();
   m_homes[id] = home;
 }
 
-void caller_gateway::with_job(const std::shared_ptr<call>& what,
+void caller_gateway::with_job(const std::shared_ptr<caller_call>& call,
                               std::function<void(const found_job&)> then)
 {
   m_store.find(
-      what->id, k_read_timeout,
-      [this, what, then = std::move(then)](const found_job& found)
+      call->id, k_read_timeout,
+      [this, call, then = std::move(then)](const found_job& found)
       {
         if (!found.answered)
-          refuse(*what, {503, refusal_reason::store_unavailable, "the store did not answer"});
+          refuse(*call, {503, refusal_reason::store_unavailable, "the store did not answer"});
         else if (!found.job)
-          refuse(*what, {410, refusal_reason::unknown_task, "no such job", row_evidence::absent});
+          refuse(*call, {410, refusal_reason::unknown_task, "no such job", row_evidence::absent});
         else
           then(found);
       });
 }
 
-// Its owner knows a job best; the store knows those that have ended or come to another owner.
-void caller_gateway::show(const std::shared_ptr<call>& what)
+// The job's owner has the most recent state; the store has the state of jobs that have ended or
+// whose partition has come to another owner.
+void caller_gateway::reply_with_state(const std::shared_ptr<caller_call>& call)
 {
-  const auto home = m_homes.find(what->id);
+  const auto home = m_homes.find(call->id);
   const cell_layout& layout = *m_layout.layout();
-  const auto [first, second] = layout.of_job(what->id);
+  const auto [first, second] = layout.of_job(call->id);
   if (home == m_homes.end())
-    show_from_owners(what, first == second ? std::vector{first} : std::vector{first, second}, {});
+    query_owners(call, first == second ? std::vector{first} : std::vector{first, second}, {});
   else if (home->second == jobs::k_every_partition)
-    show_from_owners(what, layout.names(), {});
+    query_owners(call, layout.names(), {});
   else
-    show_from_owners(what, {home->second}, {});
+    query_owners(call, {home->second}, {});
 }
 
-void caller_gateway::show_from_owners(const std::shared_ptr<call>& what,
-                                      std::vector<std::string> partitions,
-                                      std::optional<jobs::job_state> so_far)
+void caller_gateway::query_owners(const std::shared_ptr<caller_call>& call,
+                                  std::vector<std::string> partitions,
+                                  std::optional<jobs::job_state> so_far)
 {
   const partition_owner* const owner = partitions.empty() ? nullptr : partition(partitions.front());
   if (owner == nullptr)
   {
     if (so_far)
-      show_state(*what, *so_far);
+      send_state(*call, *so_far);
     else
-      show_from_store(what);
+      read_state(call);
     return;
   }
   partitions.erase(partitions.begin());
   m_states.ask(
-      *owner, what->id,
-      [this, what, partitions = std::move(partitions), so_far](std::optional<jobs::job_state> state)
+      *owner, call->id,
+      [this, call, partitions = std::move(partitions), so_far](std::optional<jobs::job_state> state)
       {
-        // A shared job that one owner has not begun may be at work under another.
+        // A job shared by all partitions may be queued at one owner and already running at another.
         if (!state || *state == jobs::job_state::queued)
-          show_from_owners(what, partitions, state ? state : so_far);
+          query_owners(call, partitions, state ? state : so_far);
         else
-          show_state(*what, *state);
+          send_state(*call, *state);
       });
 }
 
-std::string caller_gateway::progress_home(const std::string& job, const std::string& home) const
+std::string caller_gateway::progress_partition(const std::string& job,
+                                               const std::string& home) const
 {
   return home == jobs::k_every_partition ? m_layout.layout()->of_job(job).front() : home;
 }
 
-void caller_gateway::show_state(const call& what, jobs::job_state state)
+void caller_gateway::send_state(const caller_call& call, jobs::job_state state)
 {
   common::log_request(
-      "state_shown", what.id,
-      {{"state", jobs::to_text(state)}, {"after_ms", m_time.now() - what.received}});
-  what.respond({200, adapter::state_body(state), "application/json", {}});
+      "state_shown", call.id,
+      {{"state", jobs::to_text(state)}, {"after_ms", m_time.now() - call.received}});
+  call.respond({200, adapter::state_body(state), "application/json", {}});
 }
 
-void caller_gateway::show_from_store(const std::shared_ptr<call>& what)
+void caller_gateway::read_state(const std::shared_ptr<caller_call>& call)
 {
-  const auto home = m_homes.find(what->id);
+  const auto home = m_homes.find(call->id);
   if (home == m_homes.end())
   {
-    show_kept(what);
+    read_job_and_state(call);
     return;
   }
   m_store.state(
-      progress_home(what->id, home->second), what->id, k_read_timeout,
-      [this, what](const written_state& written)
+      progress_partition(call->id, home->second), call->id, k_read_timeout,
+      [this, call](const written_state& written)
       {
         if (!written.answered)
-          refuse(*what, {503, refusal_reason::store_unavailable, "the store did not answer"});
+          refuse(*call, {503, refusal_reason::store_unavailable, "the store did not answer"});
         else if (written.state)
-          show_state(*what, *written.state);
+          send_state(*call, *written.state);
         else
-          show_kept(what); // not begun yet, or ended and removed long ago
+          read_job_and_state(call); // not begun yet, or ended and removed long ago
       });
 }
 
-void caller_gateway::show_kept(const std::shared_ptr<call>& what)
+void caller_gateway::read_job_and_state(const std::shared_ptr<caller_call>& call)
 {
-  const auto show = [this, what](const found_job& found)
+  const auto read_state_of = [this, call](const found_job& found)
   {
-    remember_home(what->id, found.job->home);
+    remember_home(call->id, found.job->home);
     m_store.state(
-        progress_home(what->id, found.job->home), what->id, k_read_timeout,
-        [this, what](const written_state& written)
+        progress_partition(call->id, found.job->home), call->id, k_read_timeout,
+        [this, call](const written_state& written)
         {
           if (written.answered)
-            show_state(*what, written.state.value_or(jobs::job_state::queued));
+            send_state(*call, written.state.value_or(jobs::job_state::queued));
           else
-            refuse(*what, {503, refusal_reason::store_unavailable, "the store did not answer"});
+            refuse(*call, {503, refusal_reason::store_unavailable, "the store did not answer"});
         });
   };
-  with_job(what, show);
+  with_job(call, read_state_of);
 }
 
-void caller_gateway::cancel(const std::shared_ptr<call>& what)
+void caller_gateway::cancel(const std::shared_ptr<caller_call>& call)
 {
-  with_job(what,
-           [this, what](const found_job& found)
+  with_job(call,
+           [this, call](const found_job& found)
            {
              const std::string home = found.job->home;
              if (found.cancelled)
              {
-               on_cancelled(*what, home, true);
+               on_cancelled(*call, home, true);
                return;
              }
-             m_store.cancel(what->id, k_read_timeout,
-                            [this, what, home](bool kept) { on_cancelled(*what, home, kept); });
+             m_store.cancel(call->id, k_read_timeout,
+                            [this, call, home](bool stored) { on_cancelled(*call, home, stored); });
            });
 }
 
-void caller_gateway::on_cancelled(const call& what, const std::string& home, bool kept)
+void caller_gateway::on_cancelled(const caller_call& call, const std::string& home, bool stored)
 {
-  if (!kept)
+  if (!stored)
   {
-    refuse(what, {504, refusal_reason::run_unclear, "the cancellation could not be kept for sure"});
+    refuse(call, {504, refusal_reason::run_unclear, "the cancellation could not be kept for sure"});
     return;
   }
-  common::log_request("job_cancelled", what.id, {{"after_ms", m_time.now() - what.received}});
-  what.respond({200, "{}", "application/json", {}});
+  common::log_request("job_cancelled", call.id, {{"after_ms", m_time.now() - call.received}});
+  call.respond({200, "{}", "application/json", {}});
   for (const auto& each : m_partitions)
   {
     if (each->partition() == home || home == jobs::k_every_partition)
-      each->job_cancelled_here(what.id);
+      each->job_cancelled_here(call.id);
   }
 }
 
-// A wrong count cannot be told from a right one, so one that is too old is not given.
-void caller_gateway::count(const call& what)
+// A caller cannot tell a wrong count from a right one, so a count that is too old is refused.
+void caller_gateway::reply_with_pending_count(const caller_call& call)
 {
   std::uint64_t pending = 0;
   for (const auto& each : m_partitions)
   {
     const known_pending known = each->pending();
     const std::string& owner = each->seen().row.holder;
-    if (!known.age || *known.age > k_oldest_count)
+    if (!known.age || *known.age > k_max_count_age)
     {
-      refuse(what, {503, refusal_reason::records_incomplete,
+      refuse(call, {503, refusal_reason::records_incomplete,
                     "the count that " + owner + " told is " + age_text(known.age)});
       return;
     }
-    const auto found = known.jobs.find(what.route->name);
+    const auto found = known.jobs.find(call.route->name);
     const std::uint64_t waiting = found == known.jobs.end() ? 0 : found->second;
-    common::log_request("count_shown", what.route->name,
+    common::log_request("count_shown", call.route->name,
                         {{"pending", waiting}, {"age_ms", *known.age}, {"owner", owner}});
     pending += waiting;
   }
-  what.respond({200, adapter::pending_body(pending), "application/json", {}});
+  call.respond({200, adapter::pending_body(pending), "application/json", {}});
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/CallerGateway.h
+++ b/Source/Core/Node/CallerGateway.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// What callers ask of an instance: hand a job in, ask for its state, cancel it, count a queue.
+// Serves callers' requests: submits a job, returns its state, cancels it, or counts the pending
+// jobs of a queue.
 
 #include <chrono>
 #include <functional>
@@ -36,74 +37,81 @@
                  common::metrics& counts);
 
   void handle(http::incoming_request request, http::responder respond);
-  // The first configuration, or a later one, is in force.
-  void configured() { release_early(); }
-  // The cell's partitions are known.
-  void divided() { release_early(); }
-  // No call that comes from now on is under way for longer.
-  void end_by(common::time_point end) { m_end = end; }
+  // Called when the first configuration, or a later one, is in force.
+  void configured() { release_startup_requests(); }
+  // Called when the cell's partitions are known.
+  void layout_known() { release_startup_requests(); }
+  // The timeout of every call that arrives from now on ends at `end` at the latest.
+  void set_stop_deadline(common::time_point end) { m_stop_deadline = end; }
 
 private:
-  // A partition whose owner has not renewed its row for this long gets no new jobs if another does,
-  // and what the row says of its load is not believed.
-  static constexpr std::chrono::milliseconds k_owner_fresh{2500};
+  // A partition whose owner has not renewed its row for this long gets no new jobs if another
+  // partition can run them, and the load that the row reports is ignored.
+  static constexpr std::chrono::milliseconds k_owner_row_max_age{2500};
 
-  // A request whose queue is known.
-  struct call
+  // A caller's request while it is processed.
+  struct caller_call
   {
-    // As the configuration had it when the request came, which the call may outlive.
+    // Copied from the configuration in force at dispatch, which the call may outlive; none before.
     std::optional<jobs::queue_route> route;
-    std::string id; // of the job; empty for the queue itself
+    std::string id; // of the job; empty if the request is for the queue itself
     std::string body;
-    std::chrono::milliseconds patience{0}; // of the caller
+    std::chrono::milliseconds timeout{0}; // how long the caller waits
     common::time_point received{};
-    adapter::row_version known = 0; // of the store, when the request came
+    adapter::row_version known_version =
+        0; // a version of the store that is no newer than the request's arrival
     http::responder respond;
   };
 
   struct refusal
   {
     unsigned status = 0;
-    common::refusal_reason why = common::refusal_reason::none;
+    common::refusal_reason reason = common::refusal_reason::none;
     std::string detail;
     row_evidence evidence = row_evidence::none;
-    std::optional<std::chrono::seconds> come_back = std::nullopt; // none: the usual time
+    std::optional<std::chrono::seconds> retry_after = std::nullopt; // none: default_retry_after()
   };
 
   bool may_serve() const { return m_queues.version != 0 && !m_partitions.empty(); }
-  void release_early();
-  // How long a call that has just come may be under way.
-  std::chrono::milliseconds patience_of(const http::incoming_request& request) const;
-  // To what the request's verb and path say.
-  void dispatch(const std::shared_ptr<call>& what, const http::incoming_request& request);
-  // Without a configuration that is certain to be in force nothing true can be said.
-  void refuse_unconfigured(const call& what, http::method verb, const std::string& why);
-  void submit(const std::shared_ptr<call>& what);
-  // Whether the call is refused since the job's owner is overloaded; an answer comes by `deadline`.
-  bool shed(const std::shared_ptr<call>& what, const jobs::accepted_job& job,
-            common::time_point deadline);
-  void on_accepted(const std::shared_ptr<call>& what, const jobs::accepted_job& job,
+  void release_startup_requests();
+  // How long a call that has just arrived may take.
+  std::chrono::milliseconds timeout_of(const http::incoming_request& request) const;
+  // Passes the call to the function for the request's verb and path.
+  void dispatch(const std::shared_ptr<caller_call>& call, const http::incoming_request& request);
+  // Refuses a call that cannot be answered correctly, as no configuration here is certain to be the
+  // one in force.
+  void refuse_unconfigured(const caller_call& call, http::method verb, const std::string& reason);
+  void submit(const std::shared_ptr<caller_call>& call);
+  // Refuses the call by `deadline` if the job's owner is overloaded; returns whether it took the
+  // call over. If the refusal finds the job stored already, the call is answered as accepted.
+  bool refuse_if_overloaded(const std::shared_ptr<caller_call>& call, const jobs::accepted_job& job,
+                            common::time_point deadline);
+  void on_accepted(const std::shared_ptr<caller_call>& call, const jobs::accepted_job& job,
                    const accept_result& result);
-  void show(const std::shared_ptr<call>& what);
-  // Asks these owners, one after the other, until one says that the job has begun.
-  void show_from_owners(const std::shared_ptr<call>& what, std::vector<std::string> partitions,
-                        std::optional<jobs::job_state> so_far);
-  // The partition where the job's state is written.
-  std::string progress_home(const std::string& job, const std::string& home) const;
-  void show_state(const call& what, jobs::job_state state);
-  void show_from_store(const std::shared_ptr<call>& what);
-  // Of a job that nobody here knows: its row, then what is written of it.
-  void show_kept(const std::shared_ptr<call>& what);
-  void cancel(const std::shared_ptr<call>& what);
-  void on_cancelled(const call& what, const std::string& home, bool kept);
+  void reply_with_state(const std::shared_ptr<caller_call>& call);
+  // Queries the owners of these partitions, one after the other, until one reports that the job has
+  // begun. `so_far`: the state reported by the owners queried before.
+  void query_owners(const std::shared_ptr<caller_call>& call, std::vector<std::string> partitions,
+                    std::optional<jobs::job_state> so_far);
+  // The partition in whose rows the job's state is stored.
+  std::string progress_partition(const std::string& job, const std::string& home) const;
+  void send_state(const caller_call& call, jobs::job_state state);
+  void read_state(const std::shared_ptr<caller_call>& call);
+  // For a job whose home is not known here, or of which no state was found there: reads the job's
+  // row, then its stored state.
+  void read_job_and_state(const std::shared_ptr<caller_call>& call);
+  void cancel(const std::shared_ptr<caller_call>& call);
+  void on_cancelled(const caller_call& call, const std::string& home, bool stored);
   // Reads the job's row; refuses the call if the store does not answer or there is no such job.
-  void with_job(const std::shared_ptr<call>& what, std::function<void(const found_job&)> then);
-  void count(const call& what);
-  void refuse(const call& what, const refusal& how);
+  void with_job(const std::shared_ptr<caller_call>& call,
+                std::function<void(const found_job&)> then);
+  void reply_with_pending_count(const caller_call& call);
+  void refuse(const caller_call& call, const refusal& rejection);
 
-  // Where a new job should run.
-  std::string home_for(const std::string& job, const jobs::job_spec& spec) const;
-  // Whether the partition has an owner that lives and workers on which all steps fit.
+  // The home of a new job: the partition where it should run.
+  std::string choose_home(const std::string& job, const jobs::job_spec& spec) const;
+  // Whether the partition has a live owner and workers with the labels that the job's steps
+  // require.
   bool can_run(const partition_owner& partition, const jobs::job_spec& spec) const;
   partition_owner* partition(const std::string& name) const;
   void remember_home(const std::string& id, const std::string& home);
@@ -119,8 +127,9 @@
   const std::vector<std::unique_ptr<partition_owner>>& m_partitions;
   common::metrics& m_metrics;
   common::time_point m_started; // of this instance
-  startup_requests m_early;
-  std::unordered_map<std::string, std::string> m_homes; // of jobs seen here
-  std::optional<common::time_point> m_end;              // of this process, once it is planned
+  startup_requests m_startup_requests;
+  std::unordered_map<std::string, std::string> m_homes; // of jobs that were submitted or read here
+  std::optional<common::time_point>
+      m_stop_deadline; // when this process ends, once its stop is planned
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/CallerGatewayOverload.cpp
+++ b/Source/Core/Node/CallerGatewayOverload.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Refusing jobs that their overloaded owner could not begin in time.
+// Refuses jobs that the overloaded owner of their home could not start in time.
 
 #include "Node/CallerGateway.h"
 
@@ -11,26 +11,27 @@
 
 namespace yardhill::node
 {
-bool caller_gateway::shed(const std::shared_ptr<call>& what, const jobs::accepted_job& job,
-                          common::time_point deadline)
+bool caller_gateway::refuse_if_overloaded(const std::shared_ptr<caller_call>& call,
+                                          const jobs::accepted_job& job,
+                                          common::time_point deadline)
 {
   const partition_owner* const home = partition(job.home);
-  if (home == nullptr || m_time.now() - home->seen().changed_at > k_owner_fresh)
+  if (home == nullptr || m_time.now() - home->seen().changed_at > k_owner_row_max_age)
     return false;
-  const auto excess = excess_wait(what->route->policy, job.spec, home->seen().row);
+  const auto excess = excess_wait(call->route->policy, job.spec, home->seen().row);
   if (!excess)
     return false;
   m_store.refuse(job.id, "its partition is overloaded", deadline,
-                 [this, what, job, excess](const accept_result& result)
+                 [this, call, job, excess](const accept_result& result)
                  {
                    if (result.end != accept_end::refused)
                    {
-                     on_accepted(what, job, result);
+                     on_accepted(call, job, result);
                      return;
                    }
-                   refuse(*what,
+                   refuse(*call,
                           {503, common::refusal_reason::queue_full, result.detail, result.evidence,
-                           retry_after_overload(what->route->policy.priority, job.id, *excess)});
+                           retry_after_overload(call->route->policy.priority, job.id, *excess)});
                  });
   return true;
 }
--- a/Source/Core/Node/ConfigurationWatch.h
+++ b/Source/Core/Node/ConfigurationWatch.h
@@ -3,12 +3,13 @@
 
 #pragma once
 
-// Whether this instance may still serve callers by the configuration that it has.
+// Decides whether this instance may still serve callers under the configuration that it has.
 //
-// A version that was confirmed is in force everywhere within a limit. An instance that has fallen
-// behind, because its link is full or its way to the store is broken, cannot know what it says, so
-// it refuses: a route told as unknown, or a job taken for one that is gone, would be wrong, while a
-// refusal only sends the caller elsewhere.
+// A configuration version that was confirmed is in force on every instance within a limit. An
+// instance that has fallen behind, because its link is saturated or its path to the store
+// is broken, cannot know what a newer version says, so the instance refuses requests: to answer
+// that a route is unknown or that a job is gone could be wrong, while a refusal only sends the
+// caller to another instance.
 
 #include <cstdint>
 #include <optional>
@@ -24,18 +25,19 @@
 class configuration_watch
 {
 public:
-  // `limit`: how long a confirmed version may take until it is in force.
+  // `limit`: the time within which a confirmed version has to be in force.
   configuration_watch(common::timekeeper& time, const table_feed& feed, const store_path& path,
                       const jobs::queue_table& queues, common::duration limit);
 
-  void peer_told(const common::way_report& report);
-  // For peers: the version that is certain to be the newest; 0 if none is.
+  void on_peer_report(const common::way_report& report);
+  // What peers are told: the version in force here if it is certain to be the newest, else 0.
   std::uint64_t newest() const;
-  // Whether a peer knows a newer version than the one in force here.
-  bool newer_elsewhere() const { return m_newer > m_queues.version; }
-  // Whether a newer version may have to be in force already. False before the first configuration,
-  // and while nobody here reaches the store: others serve callers no better then.
-  bool late() const;
+  // Whether a peer has reported a newer version than the one in force here.
+  bool peer_has_newer() const { return m_peer_version > m_queues.version; }
+  // Whether a newer version may exist that has to be in force by now. False before the first
+  // configuration, and while neither this instance nor a peer reaches the store: other instances
+  // then serve callers no better.
+  bool may_be_outdated() const;
 
 private:
   common::timekeeper& m_time;
@@ -43,9 +45,11 @@
   const store_path& m_path;
   const jobs::queue_table& m_queues;
   common::duration m_limit;
-  std::uint64_t m_newer = 0; // that a peer has told of
-  common::time_point m_newer_since{};
-  common::time_point m_vouched_at{};      // a peer said that the version here is the newest
-  common::time_point m_peer_reached_at{}; // a peer said that the store answers it
+  std::uint64_t m_peer_version = 0; // the newest that a peer has reported
+  common::time_point m_peer_version_since{};
+  common::time_point
+      m_confirmed_at{}; // when a peer last reported the version in force here as the newest
+  common::time_point
+      m_peer_reached_store_at{}; // when a peer last reported that the store answers it
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/DuplicatedRequest.cpp
+++ b/Source/Core/Node/DuplicatedRequest.cpp
@@ -13,8 +13,8 @@
 constexpr unsigned k_unavailable = 503;
 constexpr unsigned k_first_server_error = 500;
 
-// Whether the answer tells what has become of the call, whatever the other copy's is.
-bool decides(const http::reply& answer)
+// Whether this reply alone shows the request's outcome, whatever the reply to the other copy is.
+bool is_conclusive(const http::reply& answer)
 {
   return answer.answered() && answer.status < k_first_server_error &&
          !certainly_not_executed(answer);
@@ -34,13 +34,13 @@
 {
   if (!m_done)
     return;
-  if (!decides(answer) && !m_first)
+  if (!is_conclusive(answer) && !m_first_reply)
   {
-    m_first = answer;
+    m_first_reply = answer;
     return;
   }
-  const bool told = decides(answer) || !certainly_not_executed(answer);
-  const http::reply outcome = told ? answer : *m_first;
+  const bool may_be_executed = is_conclusive(answer) || !certainly_not_executed(answer);
+  const http::reply outcome = may_be_executed ? answer : *m_first_reply;
   std::exchange(m_done, nullptr)(outcome);
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/DuplicatedRequest.h
+++ b/Source/Core/Node/DuplicatedRequest.h
@@ -3,10 +3,10 @@
 
 #pragma once
 
-// One call to the store that was sent twice, directly and through a peer.
+// One request to the store that was sent twice, directly and through a peer.
 //
-// That one copy was turned away says nothing of the other: a caller that is told "not done" then
-// may be refused although its job is kept.
+// A rejection of one copy says nothing about the other: if the rejection were reported as the
+// outcome, a caller could be refused although the other copy has stored its job.
 
 #include <optional>
 
@@ -14,21 +14,21 @@
 
 namespace yardhill::node
 {
-// Whether the store has certainly not carried the call out.
+// Whether the store has certainly not executed the request that got this reply.
 bool certainly_not_executed(const http::reply& answer);
 
 class duplicated_request
 {
 public:
-  // `done` is told once: what one copy has brought about, else that neither was carried out, else
-  // that the outcome is not known.
+  // `done` is called once: with a reply that shows the outcome of one copy; else with a reply that
+  // neither copy was executed; else with a reply that leaves the outcome unknown.
   explicit duplicated_request(http::reply_handler done);
 
-  // Of either copy; each is told once.
+  // The reply to either copy; called once per copy.
   void answered(const http::reply& answer);
 
 private:
-  http::reply_handler m_done; // none once it has been told
-  std::optional<http::reply> m_first;
+  http::reply_handler m_done; // empty once it has been called
+  std::optional<http::reply> m_first_reply;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/JobIntake.cpp
+++ b/Source/Core/Node/JobIntake.cpp
@@ -14,9 +14,9 @@
 {
 namespace
 {
-// Cancellations of unknown jobs that are remembered; about 200 KB when full. Those of jobs that
-// have ended come in here as well; a job that comes after its own is at most seconds behind.
-constexpr std::size_t k_most_early = 4096;
+// How many cancellations of unknown jobs are remembered; about 200 KB when full. Cancellations of
+// jobs that have ended are among them. A job arrives at most seconds after its cancellation.
+constexpr std::size_t k_max_early_cancellations = 4096;
 } // namespace
 
 job_intake::job_intake(common::timekeeper& time, adapter::store_client& feed_store,
@@ -27,7 +27,7 @@
       m_clock(clock),
       m_partition(std::move(partition)),
       m_token(token),
-      m_changed(std::move(changed))
+      m_on_change(std::move(changed))
 {
 }
 
@@ -40,14 +40,14 @@
 void job_intake::begin(scheduling::job_scheduler& scheduler, const loaded_partition& loaded)
 {
   m_scheduler = &scheduler;
-  m_read_at = loaded.read_at;
-  m_read_until = loaded.read_from;
+  m_read_version = loaded.read_at;
+  m_complete_until = loaded.read_from;
   add_loaded(loaded);
 }
 
 common::time_point job_intake::known_until() const
 {
-  return m_feed ? std::max(m_read_until, m_feed->known_until()) : m_read_until;
+  return m_feed ? std::max(m_complete_until, m_feed->known_until()) : m_complete_until;
 }
 
 void job_intake::add_loaded(const loaded_partition& loaded)
@@ -58,7 +58,7 @@
     if (m_scheduler->knew(each.job.id))
       continue;
     const auto progress = loaded.progress.find(each.job.id);
-    // Jobs that were kept after the takeover have not been started by anyone.
+    // No owner has started a job that was stored after the takeover.
     if (each.version > m_token)
       m_scheduler->add_job(each.job, now);
     else if (progress == loaded.progress.end())
@@ -75,10 +75,10 @@
 {
   feed_handlers handlers;
   handlers.changed = [this](const std::vector<adapter::row>& rows) { on_rows(rows); };
-  handlers.expired = [this] { read_again(); };
+  handlers.expired = [this] { reload(); };
   m_feed = std::make_unique<table_feed>(m_time, m_feed_store, k_jobs_table, job_parts(),
                                         std::move(handlers));
-  m_feed->start_after(m_read_at);
+  m_feed->start_after(m_read_version);
 }
 
 void job_intake::ask_again()
@@ -87,20 +87,21 @@
     m_feed->ask_again();
 }
 
-// The feed cannot say what it missed, so everything is read again; jobs known here are left alone.
-void job_intake::read_again()
+// The feed has lost part of the history and cannot say which changes it missed, so all rows are
+// read again. Jobs that are known here stay as they are.
+void job_intake::reload()
 {
-  m_read_until = known_until();
-  m_feed.reset(); // else it could ask again, and begin a second reading beside this one
+  m_complete_until = known_until();
+  m_feed.reset(); // a live feed could expire again and start a second reload beside this one
   m_loader = std::make_shared<partition_loader>(m_time, m_feed_store, m_clock, m_partition,
                                                 [this](const loaded_partition& loaded)
                                                 {
                                                   add_loaded(loaded);
-                                                  m_read_at = loaded.read_at;
-                                                  m_read_until =
-                                                      std::max(m_read_until, loaded.read_from);
+                                                  m_read_version = loaded.read_at;
+                                                  m_complete_until =
+                                                      std::max(m_complete_until, loaded.read_from);
                                                   follow_feed();
-                                                  m_changed();
+                                                  m_on_change();
                                                 });
   m_loader->start();
 }
@@ -111,12 +112,12 @@
   {
     if (row.removed)
       continue;
-    const auto kept = job_row_from(row);
-    if (!kept)
+    const auto stored_row = job_row_from(row);
+    if (!stored_row)
       continue;
-    if (std::holds_alternative<cancel_mark>(kept->content))
-      job_cancelled(kept->id);
-    else if (const auto* job = std::get_if<jobs::accepted_job>(&kept->content))
+    if (std::holds_alternative<cancel_mark>(stored_row->content))
+      job_cancelled(stored_row->id);
+    else if (const auto* job = std::get_if<jobs::accepted_job>(&stored_row->content))
       job_stored(*job, row.version);
   }
 }
@@ -139,12 +140,12 @@
 
 void job_intake::job_stored(const jobs::accepted_job& job, adapter::row_version version)
 {
-  if (m_scheduler == nullptr || version <= m_read_at || !runs_in(job, m_partition) ||
+  if (m_scheduler == nullptr || version <= m_read_version || !runs_in(job, m_partition) ||
       m_scheduler->knew(job.id))
     return;
   m_scheduler->add_job(job, m_time.now());
   apply_early_cancellation(job.id);
-  m_changed();
+  m_on_change();
 }
 
 void job_intake::job_cancelled(const std::string& id)
@@ -152,21 +153,21 @@
   if (m_scheduler != nullptr && m_scheduler->knows(id))
   {
     m_scheduler->cancel_job(id, m_time.now());
-    m_changed();
+    m_on_change();
     return;
   }
-  if (!m_early.insert(id).second)
+  if (!m_cancelled_early.insert(id).second)
     return;
-  m_early_in_order.push_back(id);
-  if (m_early_in_order.size() <= k_most_early)
+  m_cancelled_early_order.push_back(id);
+  if (m_cancelled_early_order.size() <= k_max_early_cancellations)
     return;
-  m_early.erase(m_early_in_order.front());
-  m_early_in_order.pop_front();
+  m_cancelled_early.erase(m_cancelled_early_order.front());
+  m_cancelled_early_order.pop_front();
 }
 
 void job_intake::apply_early_cancellation(const std::string& id)
 {
-  if (m_early.contains(id))
+  if (m_cancelled_early.contains(id))
     m_scheduler->cancel_job(id, m_time.now());
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/JobIntake.h
+++ b/Source/Core/Node/JobIntake.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-// Brings a partition's jobs and their cancellations to its owner's scheduler: as they were kept at
-// the takeover, as the feed of the jobs' table shows them, or sooner, as the instances that kept
-// them say. Lives as long as an ownership.
+// Passes a partition's jobs and their cancellations to the scheduler of the partition's owner. They
+// come from three sources: the rows stored at the takeover, the feed of the jobs table, and, sooner
+// than by the feed, notices of the instances that stored them. One object exists per ownership.
 
 #include <deque>
 #include <functional>
@@ -24,48 +24,51 @@
 class job_intake
 {
 public:
-  // `token`: of the ownership. `changed` is called when the scheduler has something new to do.
+  // `token`: the fencing token of the ownership. `changed` is called whenever the scheduler has new
+  // work.
   job_intake(common::timekeeper& time, adapter::store_client& feed_store, const store_clock& clock,
              std::string partition, scheduling::fencing_token token, std::function<void()> changed);
   ~job_intake();
   job_intake(const job_intake&) = delete;
   job_intake& operator=(const job_intake&) = delete;
 
-  // Until the scheduler is there, cancellations are remembered, and jobs left to the feed.
+  // Starts passing jobs to `scheduler`. Before this call, cancellations are remembered and new jobs
+  // are ignored: the feed brings them later.
   void begin(scheduling::job_scheduler& scheduler, const loaded_partition& loaded);
-  // From the version that begin() was given on.
+  // Follows the jobs table from the version up to which begin() was given the rows.
   void follow_feed();
 
-  // The store is back after a silence.
+  // Called when the store answers again after an outage.
   void ask_again();
 
   void job_stored(const jobs::accepted_job& job, adapter::row_version version);
   void job_cancelled(const std::string& id);
   void on_notice(const common::job_notice& notice);
-  // All jobs that were kept by then are known, or have ended.
+  // All jobs that were stored by this time are known here or have ended.
   common::time_point known_until() const;
-  // Whether the feed has shown what came while the rows were read, and is still heard.
+  // Whether the feed has delivered the changes made while the rows were read, and still works.
   bool caught_up() const { return m_feed && m_feed->healthy_since(); }
 
 private:
   void add_loaded(const loaded_partition& loaded);
-  // A cancellation that came before its job holds once the job is here.
+  // Cancels the job if its cancellation came before the job itself.
   void apply_early_cancellation(const std::string& id);
   void on_rows(const std::vector<adapter::row>& rows);
-  void read_again();
+  void reload();
 
   common::timekeeper& m_time;
   adapter::store_client& m_feed_store;
   const store_clock& m_clock;
   std::string m_partition;
   scheduling::fencing_token m_token;
-  std::function<void()> m_changed;
-  scheduling::job_scheduler* m_scheduler = nullptr; // none before begin()
-  adapter::row_version m_read_at = 0;               // all jobs up to here are known, or have ended
-  common::time_point m_read_until{};                // by readings alone
+  std::function<void()> m_on_change;
+  scheduling::job_scheduler* m_scheduler = nullptr; // null before begin()
+  adapter::row_version m_read_version = 0; // all jobs up to this version are known or have ended
+  common::time_point
+      m_complete_until{}; // known_until() as far as full reads, without the feed, establish it
   std::unique_ptr<table_feed> m_feed;
   std::shared_ptr<partition_loader> m_loader;
-  std::set<std::string> m_early; // cancelled jobs that are not known here
-  std::deque<std::string> m_early_in_order;
+  std::set<std::string> m_cancelled_early;         // ids of cancelled jobs that are not known here
+  std::deque<std::string> m_cancelled_early_order; // the same ids, oldest first
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/JobStateQueries.cpp
+++ b/Source/Core/Node/JobStateQueries.cpp
@@ -9,8 +9,9 @@
 {
 namespace
 {
-// Peers answer in a few milliseconds; after this time the store, which takes 4 ms, is asked.
-constexpr std::chrono::milliseconds k_answer_time{150};
+// Peers reply within a few milliseconds. After this time without a reply the store is read, which
+// takes 4 ms.
+constexpr std::chrono::milliseconds k_reply_timeout{150};
 } // namespace
 
 job_state_queries::job_state_queries(
@@ -28,8 +29,8 @@
     done(partition.written_state(id));
     return;
   }
-  const std::uint64_t number = ++m_number;
-  m_asked[number] = {holder, std::move(done), m_time.now() + k_answer_time};
+  const std::uint64_t number = ++m_last_number;
+  m_pending[number] = {holder, std::move(done), m_time.now() + k_reply_timeout};
   m_send(holder, common::state_question{number, id});
 }
 
@@ -41,20 +42,20 @@
 void job_state_queries::peer_unreachable(const std::string& peer)
 {
   m_reachable.erase(peer);
-  for (auto& [number, each] : m_asked)
+  for (auto& [number, each] : m_pending)
   {
     if (each.peer == peer)
-      each.overdue = common::time_point{};
+      each.deadline = common::time_point{};
   }
 }
 
-void job_state_queries::on_question(const std::string& peer, const common::state_question& question)
+void job_state_queries::on_query(const std::string& peer, const common::state_question& query)
 {
   common::state_reply reply;
-  reply.number = question.number;
+  reply.number = query.number;
   for (const auto& each : m_partitions)
   {
-    const auto state = each->written_state(question.id);
+    const auto state = each->written_state(query.id);
     if (!state)
       continue;
     reply.known = true;
@@ -65,28 +66,28 @@
 
 void job_state_queries::on_reply(const std::string& peer, const common::state_reply& reply)
 {
-  const auto found = m_asked.find(reply.number);
-  if (found == m_asked.end() || found->second.peer != peer)
-    return; // given up before
+  const auto found = m_pending.find(reply.number);
+  if (found == m_pending.end() || found->second.peer != peer)
+    return; // the query timed out before its reply came
   const handler done = std::move(found->second.done);
-  m_asked.erase(found);
-  const bool sound =
+  m_pending.erase(found);
+  const bool valid =
       reply.known && reply.state <= static_cast<std::uint8_t>(jobs::job_state::cancelled);
-  done(sound ? std::optional(static_cast<jobs::job_state>(reply.state)) : std::nullopt);
+  done(valid ? std::optional(static_cast<jobs::job_state>(reply.state)) : std::nullopt);
 }
 
 void job_state_queries::tick(common::time_point now)
 {
   std::vector<handler> overdue;
-  for (auto each = m_asked.begin(); each != m_asked.end();)
+  for (auto each = m_pending.begin(); each != m_pending.end();)
   {
-    if (each->second.overdue > now)
+    if (each->second.deadline > now)
     {
       ++each;
       continue;
     }
     overdue.push_back(std::move(each->second.done));
-    each = m_asked.erase(each);
+    each = m_pending.erase(each);
   }
   for (const handler& done : overdue)
     done(std::nullopt);
--- a/Source/Core/Node/JobStateQueries.h
+++ b/Source/Core/Node/JobStateQueries.h
@@ -3,10 +3,11 @@
 
 #pragma once
 
-// The states of jobs, asked of the instance that owns their partition.
+// Queries the state of a job from the instance that owns the job's partition, and answers such
+// queries of peers.
 //
-// The owner knows what is written without a call to the store, and goes on knowing it while the
-// store is slow or away. What it does not know is left to the store.
+// The owner knows the stored state without a call to the store, also while the store is slow or
+// unavailable. For a job that the owner does not know, the caller has to read the store.
 
 #include <functional>
 #include <map>
@@ -27,34 +28,34 @@
 {
 public:
   using sender = std::function<void(const std::string& peer, const common::peer_message&)>;
-  // Nothing if the owner does not know the job or did not answer in time.
+  // Called with no state if the owner does not know the job or did not answer in time.
   using handler = std::function<void(std::optional<jobs::job_state>)>;
 
   job_state_queries(common::timekeeper& time, sender send,
                     const std::vector<std::unique_ptr<partition_owner>>& partitions);
 
-  // `done` may be called at once.
+  // Asks the partition's owner for the state of job `id`. `done` may be called before this returns.
   void ask(const partition_owner& partition, const std::string& id, handler done);
 
   void peer_reachable(const std::string& peer);
   void peer_unreachable(const std::string& peer);
-  void on_question(const std::string& peer, const common::state_question& question);
+  void on_query(const std::string& peer, const common::state_question& query);
   void on_reply(const std::string& peer, const common::state_reply& reply);
   void tick(common::time_point now);
 
 private:
-  struct asked
+  struct pending_query
   {
     std::string peer;
     handler done;
-    common::time_point overdue;
+    common::time_point deadline;
   };
 
   common::timekeeper& m_time;
   sender m_send;
   const std::vector<std::unique_ptr<partition_owner>>& m_partitions;
   std::set<std::string> m_reachable;
-  std::map<std::uint64_t, asked> m_asked;
-  std::uint64_t m_number = 0;
+  std::map<std::uint64_t, pending_query> m_pending;
+  std::uint64_t m_last_number = 0;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/KnownCapacities.cpp
+++ b/Source/Core/Node/KnownCapacities.cpp
@@ -11,18 +11,19 @@
 {
 namespace
 {
-// A refusal for good must be true: entries lapse while the store is away, so the largest workers
-// may not have been seen, and larger ones may come. Beyond twice the largest, none is expected.
-constexpr double k_beyond = 2.0;
+// A permanent refusal must be correct. Worker entries expire while the store is unavailable, so the
+// largest workers may be unknown here, and larger workers may be added. None is expected to be
+// larger than this multiple of the largest one known.
+constexpr double k_refusal_factor = 2.0;
 } // namespace
 
-void known_capacities::note(const std::string& service, const common::resources& capacity)
+void known_capacities::add(const std::string& service, const common::resources& capacity)
 {
   std::vector<common::resources>& largest = m_largest[service];
-  const bool known =
+  const bool covered =
       std::any_of(largest.begin(), largest.end(),
                   [&capacity](const common::resources& each) { return capacity.fits_in(each); });
-  if (known)
+  if (covered)
     return;
   std::erase_if(largest,
                 [&capacity](const common::resources& each) { return each.fits_in(capacity); });
@@ -34,22 +35,23 @@
   for (const auto& [service, capacities] : largest)
   {
     for (const common::resources& each : capacities)
-      note(service, each);
+      add(service, each);
   }
 }
 
 std::optional<std::string> known_capacities::never_fits(const std::string& service,
                                                         const jobs::job_spec& spec) const
 {
-  const auto seen = m_largest.find(service);
-  if (seen == m_largest.end())
+  const auto known = m_largest.find(service);
+  if (known == m_largest.end())
     return std::nullopt;
   for (std::size_t step = 0; step < spec.steps.size(); ++step)
   {
-    const common::resources room = scheduling::room_of(spec.steps[step]);
-    const bool fits = std::any_of(seen->second.begin(), seen->second.end(),
-                                  [&room](const common::resources& each)
-                                  { return room.fits_in(common::scaled(each, k_beyond)); });
+    const common::resources required = scheduling::room_of(spec.steps[step]);
+    const bool fits = std::any_of(known->second.begin(), known->second.end(),
+                                  [&required](const common::resources& each) {
+                                    return required.fits_in(common::scaled(each, k_refusal_factor));
+                                  });
     if (!fits)
       return "step " + std::to_string(step) +
              ": a task asks for more than twice of what any worker of " + service + " has";
--- a/Source/Core/Node/KnownCapacities.h
+++ b/Source/Core/Node/KnownCapacities.h
@@ -3,8 +3,9 @@
 
 #pragma once
 
-// How large workers have been, by service, as far as this process has seen them or an owner has
-// told: a task far larger than all of them is refused at once instead of waiting for good.
+// The largest worker capacities by service, as far as this process has seen workers or an owner has
+// reported them. A task that is far larger than all of them is refused at once instead of waiting
+// forever.
 
 #include <map>
 #include <optional>
@@ -21,14 +22,15 @@
 public:
   using by_service = std::map<std::string, std::vector<common::resources>>;
 
-  void note(const scheduling::worker_info& worker) { note(worker.service, worker.capacity); }
-  void note(const std::string& service, const common::resources& capacity);
-  // What another instance has seen.
+  void add(const scheduling::worker_info& worker) { add(worker.service, worker.capacity); }
+  void add(const std::string& service, const common::resources& capacity);
+  // Adds the capacities that another instance has seen.
   void add_all(const by_service& largest);
-  // None of a service's capacities fits in another one.
+  // Only maximal ones: no capacity of a service fits in another of the same service.
   const by_service& largest() const { return m_largest; }
-  // Which step can never run on workers of that service, and why; none if each can, or if no worker
-  // of it has been seen. Labels are left out: they tell of racks and kinds, which come and go.
+  // Names a step that can never run on workers of the service, and why; none if every step can run,
+  // or if no worker of the service is known. Labels are not considered: they stand for racks and
+  // kinds of workers, which come and go.
   std::optional<std::string> never_fits(const std::string& service,
                                         const jobs::job_spec& spec) const;
 
--- a/Source/Core/Node/LoopMonitor.cpp
+++ b/Source/Core/Node/LoopMonitor.cpp
@@ -8,14 +8,14 @@
 
 namespace yardhill::node
 {
-void loop_monitor::ticked(common::time_point due, common::time_point came)
+void loop_monitor::record_tick(common::time_point due, common::time_point actual)
 {
-  m_latest = std::max(common::duration{0}, came - due);
+  m_latest = std::max(common::duration{0}, actual - due);
   m_worst = std::max(m_worst, m_latest);
   while (!m_window.empty() && m_window.back().lateness <= m_latest)
     m_window.pop_back();
-  m_window.push_back({came, m_latest});
-  while (came - m_window.front().came > k_window)
+  m_window.push_back({actual, m_latest});
+  while (actual - m_window.front().actual > k_window)
     m_window.pop_front();
 }
 
--- a/Source/Core/Node/LoopMonitor.h
+++ b/Source/Core/Node/LoopMonitor.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// How late the event loop calls what is due, measured at a tick that should come periodically.
+// Measures the latency of the event loop: how late a periodic tick is called.
 
 #include <deque>
 
@@ -14,14 +14,14 @@
 class loop_monitor
 {
 public:
-  // How long a late tick counts as the loop's present state.
+  // How long a late tick counts towards lateness().
   static constexpr std::chrono::seconds k_window{1};
 
-  void ticked(common::time_point due, common::time_point came);
+  void record_tick(common::time_point due, common::time_point actual);
 
   // The greatest lateness of the ticks within the window before the latest one.
   common::duration lateness() const;
-  // Of the latest tick alone.
+  // The lateness of the latest tick alone.
   common::duration latest() const { return m_latest; }
   // The greatest lateness since the previous call.
   common::duration take_worst();
@@ -29,11 +29,11 @@
 private:
   struct late_tick
   {
-    common::time_point came;
+    common::time_point actual;
     common::duration lateness;
   };
 
-  std::deque<late_tick> m_window; // lateness falls from front to back
+  std::deque<late_tick> m_window; // lateness decreases from front to back
   common::duration m_latest{0};
   common::duration m_worst{0};
 };
--- a/Source/Core/Node/MessageGaps.h
+++ b/Source/Core/Node/MessageGaps.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// The longest time lately between two messages of a peer that sends some all the time. A peer whose
-// messages come late is busy; one without any for much longer than that is gone.
+// The longest recent time between two messages of a peer that sends messages periodically. A peer
+// whose messages come late is busy; a peer that has sent nothing for much longer than that is gone.
 
 #include <algorithm>
 
@@ -15,40 +15,40 @@
 class message_gaps
 {
 public:
-  // A gap longer than `most` is an outage and says nothing of how busy the peer is.
-  explicit message_gaps(common::duration most) : m_most(most) {}
+  // A gap longer than `max_gap` is an outage and does not show how busy the peer is.
+  explicit message_gaps(common::duration max_gap) : m_max_gap(max_gap) {}
 
-  void note(common::duration gap, common::time_point now)
+  void record(common::duration gap, common::time_point now)
   {
-    roll(now);
-    if (gap <= m_most)
-      m_present = std::max(m_present, gap);
+    advance_period(now);
+    if (gap <= m_max_gap)
+      m_current = std::max(m_current, gap);
   }
 
   common::duration longest(common::time_point now) const
   {
-    const common::duration age = now - m_begun;
+    const common::duration age = now - m_period_start;
     if (age >= 2 * k_period)
       return {};
-    return age >= k_period ? m_present : std::max(m_present, m_former);
+    return age >= k_period ? m_current : std::max(m_current, m_previous);
   }
 
 private:
-  // A gap is remembered for one to two periods.
+  // A gap counts for one to two periods.
   static constexpr std::chrono::seconds k_period{10};
 
-  void roll(common::time_point now)
+  void advance_period(common::time_point now)
   {
-    if (now - m_begun < k_period)
+    if (now - m_period_start < k_period)
       return;
-    m_former = now - m_begun < 2 * k_period ? m_present : common::duration{};
-    m_present = {};
-    m_begun = now;
+    m_previous = now - m_period_start < 2 * k_period ? m_current : common::duration{};
+    m_current = {};
+    m_period_start = now;
   }
 
-  common::duration m_most;
-  common::time_point m_begun{};
-  common::duration m_present{};
-  common::duration m_former{};
+  common::duration m_max_gap;
+  common::time_point m_period_start{};
+  common::duration m_current{};
+  common::duration m_previous{};
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/NodeCore.cpp
+++ b/Source/Core/Node/NodeCore.cpp
@@ -15,58 +15,60 @@
 {
 namespace
 {
-// Workers renew their entries all the time, 32 times a second at 48 workers, and each call to the
-// store is priced. A new, leaving or vanished worker is heard of this much later.
-constexpr std::chrono::milliseconds k_gather_workers{400};
-// Of three calls for renewals this leaves two. Counts in an owner's row are told while they are
-// under 1.8 s old; they are 1.25 s old at most by this and the renewals' period.
-constexpr std::chrono::milliseconds k_gather_owners{750};
-// A configuration that comes through a peer is asked for this often, and has so long to come.
+// Changes of worker entries within this time are fetched together: workers renew their entries
+// periodically, 32 times a second with 48 workers, and each request to the store is priced. A new,
+// leaving or vanished worker is noticed this much later.
+constexpr std::chrono::milliseconds k_worker_gather_time{400};
+// Changes of owner rows within this time are fetched together, which saves one of three requests
+// for renewals. Callers are given the counts of an owner's row while the counts are under 1.8 s
+// old; with this time and the period of the renewals, they are at most 1.25 s old.
+constexpr std::chrono::milliseconds k_owner_gather_time{750};
+// Period of the requests for a configuration through a peer, and the timeout of each request.
 constexpr std::chrono::milliseconds k_fetch_period{1500};
-// Of a text from the store, so much is told in the log.
-constexpr std::size_t k_longest_told = 200;
+// Texts from the store are truncated to this many bytes in the log.
+constexpr std::size_t k_max_logged_length = 200;
 } // namespace
 
-node_core::node_core(const node_settings& settings, const std::string& life,
-                     const node_environment& world)
-    : m_world(world),
-      m_self{settings.name, life},
-      m_keep_status(settings.keep_status),
+node_core::node_core(const node_settings& settings, const std::string& incarnation,
+                     const node_environment& environment)
+    : m_environment(environment),
+      m_self{settings.name, incarnation},
+      m_status_retention(settings.status_retention),
       m_processor_millis(settings.processor_millis),
-      m_peers(world.time, {settings.name, settings.zone, settings.processor_millis},
-              world.send_to_peer,
+      m_peers(environment.time, {settings.name, settings.zone, settings.processor_millis},
+              environment.send_to_peer,
               {[this](const std::string& peer) { peer_reachable(peer); },
                [this](const std::string& peer) { peer_unreachable(peer); }}),
-      m_store_path(world.time, world.store, settings.store, adapter::store_probe(), m_peers,
-                   world.send_to_peer),
+      m_store_path(environment.time, environment.store, settings.store, adapter::store_probe(),
+                   m_peers, environment.send_to_peer),
       m_direct_path(m_store_path),
-      m_store_clock(world.time),
-      m_store(m_store_path, world.metrics, &m_store_clock),
-      m_feed_store(m_direct_path, world.metrics, &m_store_clock),
-      m_workers(world.time, world.workers, world.metrics),
-      m_advice_client(world.workers, settings.advice.value_or(common::endpoint{})),
-      m_advice_desk(world.time, m_advice_client),
-      m_advice(world.time, m_advice_desk, world.send_to_peer),
-      m_operator_feed(world.time, m_feed_store, adapter::wire::k_operator_table, {""},
+      m_store_clock(environment.time),
+      m_store(m_store_path, environment.metrics, &m_store_clock),
+      m_feed_store(m_direct_path, environment.metrics, &m_store_clock),
+      m_workers(environment.time, environment.workers, environment.metrics),
+      m_advice_client(environment.workers, settings.advice.value_or(common::endpoint{})),
+      m_advice_desk(environment.time, m_advice_client),
+      m_advice(environment.time, m_advice_desk, environment.send_to_peer),
+      m_operator_feed(environment.time, m_feed_store, adapter::wire::k_operator_table, {""},
                       {[this](const auto& rows) { on_operator_rows(rows); },
                        [this](const auto& rows) { on_operator_rows(rows); },
                        {},
                        common::duration{0},
                        true}),
-      m_configuration(world.time, m_operator_feed, m_store_path, m_queues,
+      m_configuration(environment.time, m_operator_feed, m_store_path, m_queues,
                       settings.configuration_limit),
-      m_layout(world.time, m_store, settings.partitions),
-      m_jobs(world.time, m_store, m_feed_store),
-      m_states(world.time, world.send_to_peer, m_partitions),
-      m_gateway(world.time, m_jobs, m_states, m_store_path, m_queues, m_configuration, m_capacities,
-                m_layout, m_partitions, world.metrics),
-      m_worker_feed(world.time, m_feed_store, adapter::wire::k_workers_table, {""},
+      m_layout(environment.time, m_store, settings.partitions),
+      m_jobs(environment.time, m_store, m_feed_store),
+      m_states(environment.time, environment.send_to_peer, m_partitions),
+      m_gateway(environment.time, m_jobs, m_states, m_store_path, m_queues, m_configuration,
+                m_capacities, m_layout, m_partitions, environment.metrics),
+      m_worker_feed(environment.time, m_feed_store, adapter::wire::k_workers_table, {""},
                     {[this](const auto& rows) { on_worker_rows(rows, true); },
                      [this](const auto& rows) { on_worker_rows(rows, false); },
                      {},
-                     k_gather_workers,
+                     k_worker_gather_time,
                      true}),
-      m_owner_feed(world.time, m_feed_store, k_owners_table, {k_whole_cell},
+      m_owner_feed(environment.time, m_feed_store, k_owners_table, {k_whole_cell},
                    {[this](const auto& rows)
                     {
                       on_owner_rows(rows);
@@ -77,7 +79,7 @@
                     common::duration{0},
                     true})
 {
-  m_told_strength = m_processor_millis;
+  m_reported_strength = m_processor_millis;
 }
 
 node_core::~node_core() = default;
@@ -90,22 +92,22 @@
 
 void node_core::tick()
 {
-  const common::time_point now = m_world.time.now();
-  m_loop.ticked(m_next_tick.value_or(now), now);
-  m_next_tick = now + k_tick_period;
-  if (m_store_path.back_since() > m_feeds_asked)
-    ask_feeds_again();
+  const common::time_point now = m_environment.time.now();
+  m_loop.record_tick(m_next_tick_due.value_or(now), now);
+  m_next_tick_due = now + k_tick_period;
+  if (m_store_path.back_since() > m_feeds_restarted_at)
+    restart_feed_requests();
   const auto healthy = m_owner_feed.loaded() ? m_owner_feed.healthy_since() : std::nullopt;
   decide_layout();
-  read_owners_anew();
+  reread_owners();
   for (const auto& each : m_partitions)
     each->tick(now, healthy);
   follow_workers();
-  if (shared_millis(owned()) != m_told_strength)
-    tell_strength();
+  if (shared_millis(owned()) != m_reported_strength)
+    report_strength();
   pace_owner_feed();
   fetch_configuration();
-  m_world.metrics.set(common::gauge::partitions_owned, owns_any() ? 1 : 0);
+  m_environment.metrics.set(common::gauge::partitions_owned, owns_any() ? 1 : 0);
   m_advice.tick(now);
   m_store_path.tick(now);
   m_states.tick(now);
@@ -127,20 +129,20 @@
   }
   m_worker_feed.pause();
   m_worker_entries.clear();
-  m_doubted_workers.clear();
+  m_invalid_workers.clear();
 }
 
 void node_core::pace_owner_feed()
 {
   const ownership_options options;
-  const bool others_first =
+  const bool stronger_peer_exists =
       m_peers.strongest() > options.much_stronger * static_cast<double>(m_processor_millis);
-  m_owner_feed.gather(others_first ? k_gather_owners : common::duration{0});
+  m_owner_feed.gather(stronger_peer_exists ? k_owner_gather_time : common::duration{0});
 }
 
-void node_core::ask_feeds_again()
+void node_core::restart_feed_requests()
 {
-  m_feeds_asked = m_store_path.back_since();
+  m_feeds_restarted_at = m_store_path.back_since();
   m_operator_feed.ask_again();
   m_worker_feed.ask_again();
   m_owner_feed.ask_again();
@@ -156,9 +158,9 @@
 bool node_core::ready() const
 {
   if (m_stopping || m_queues.version == 0 || m_partitions.empty() || m_store_path.isolated() ||
-      m_configuration.late())
+      m_configuration.may_be_outdated())
     return false;
-  // While the store is away for all, other instances serve callers no better.
+  // While no instance reaches the store, other instances serve callers no better.
   return m_operator_feed.healthy_since().has_value() || !m_peers.relay_peer();
 }
 
@@ -167,7 +169,7 @@
   common::log_process("peer_linked", {{"peer", peer}, {"zone", zone}});
   m_peers.linked(peer, zone);
   m_linked.insert(peer);
-  m_world.send_to_peer(peer, common::strength_report{shared_millis(owned())});
+  m_environment.send_to_peer(peer, common::strength_report{shared_millis(owned())});
 }
 
 void node_core::peer_unlinked(const std::string& peer)
@@ -197,8 +199,8 @@
 void node_core::peer_received(const std::string& peer, const common::peer_message& message)
 {
   m_peers.heard(peer);
-  if (const auto* question = std::get_if<common::way_question>(&message))
-    m_peers.on_question(peer, *question, {!m_store_path.in_doubt(), m_configuration.newest()});
+  if (const auto* query = std::get_if<common::way_question>(&message))
+    m_peers.on_query(peer, *query, {!m_store_path.in_doubt(), m_configuration.newest()});
   else if (const auto* report = std::get_if<common::way_report>(&message))
     on_way_report(peer, *report);
   else if (const auto* strength = std::get_if<common::strength_report>(&message))
@@ -212,18 +214,18 @@
   else if (const auto* answer = std::get_if<common::relay_reply>(&message))
     m_store_path.on_reply(peer, *answer);
   else if (const auto* state = std::get_if<common::state_question>(&message))
-    m_states.on_question(peer, *state);
+    m_states.on_query(peer, *state);
   else if (const auto* known = std::get_if<common::state_reply>(&message))
     m_states.on_reply(peer, *known);
-  else if (const auto* orders = std::get_if<common::orders_question>(&message))
+  else if (const auto* orders_query = std::get_if<common::orders_question>(&message))
   {
     for (const auto& each : m_partitions)
-      each->on_orders_question(peer, *orders);
+      each->on_orders_question(peer, *orders_query);
   }
-  else if (const auto* quiet = std::get_if<common::orders_reply>(&message))
+  else if (const auto* orders_ended = std::get_if<common::orders_reply>(&message))
   {
     for (const auto& each : m_partitions)
-      each->on_orders_reply(peer, *quiet);
+      each->on_orders_reply(peer, *orders_ended);
   }
   else if (const auto* notice = std::get_if<common::job_notice>(&message))
   {
@@ -235,14 +237,14 @@
 void node_core::on_way_report(const std::string& peer, const common::way_report& report)
 {
   m_peers.on_report(peer, report);
-  m_configuration.peer_told(report);
+  m_configuration.on_peer_report(report);
 }
 
-void node_core::begin_stop(std::optional<common::duration> left)
+void node_core::begin_stop(std::optional<common::duration> time_left)
 {
   m_stopping = true;
-  if (left)
-    m_gateway.end_by(m_world.time.now() + *left);
+  if (time_left)
+    m_gateway.set_stop_deadline(m_environment.time.now() + *time_left);
   for (const auto& each : m_partitions)
     each->hand_over();
 }
@@ -264,23 +266,23 @@
   for (const adapter::row& row : rows)
   {
     if (row.at.key == adapter::wire::k_config_key && !row.removed)
-      take_configuration(row);
+      apply_configuration(row);
   }
 }
 
 void node_core::fetch_configuration()
 {
-  const common::time_point now = m_world.time.now();
-  if (!m_configuration.newer_elsewhere() || m_operator_feed.healthy_since() ||
-      now - m_configuration_fetched < k_fetch_period)
+  const common::time_point now = m_environment.time.now();
+  if (!m_configuration.peer_has_newer() || m_operator_feed.healthy_since() ||
+      now - m_configuration_fetched_at < k_fetch_period)
     return;
-  m_configuration_fetched = now;
+  m_configuration_fetched_at = now;
   m_store.read({adapter::wire::k_operator_table, "", adapter::wire::k_config_key, {}, 1},
                k_fetch_period,
                [this](const adapter::rows_result& result) { on_operator_rows(result.rows); });
 }
 
-void node_core::take_configuration(const adapter::row& row)
+void node_core::apply_configuration(const adapter::row& row)
 {
   auto table = adapter::queue_table_from(row.value);
   if (!table)
@@ -290,14 +292,14 @@
         {{"table", row.at.table}, {"key", row.at.key}, {"error", common::to_text(table.error())}});
     return;
   }
-  // A late answer must not bring an older version back.
+  // A reply that arrives late must not restore an older version.
   if (table->version <= m_queues.version)
     return;
   m_queues = *std::move(table);
   m_gateway.configured();
-  m_world.limits_changed(m_queues.limits);
-  m_world.metrics.add(common::counter::config_changes);
-  m_world.metrics.set(common::gauge::config_version, m_queues.version);
+  m_environment.limits_changed(m_queues.limits);
+  m_environment.metrics.add(common::counter::config_changes);
+  m_environment.metrics.set(common::gauge::config_version, m_queues.version);
   common::log_process("configuration_in_force", {{"version", m_queues.version},
                                                  {"queues", m_queues.routes.size()},
                                                  {"row_version", row.version}});
@@ -311,28 +313,28 @@
   auto info = adapter::worker_from(id, row.value);
   if (!info)
   {
-    doubt_worker(id, info.error());
+    invalidate_worker_entry(id, info.error());
     return;
   }
-  if (m_doubted_workers.erase(id) > 0)
+  if (m_invalid_workers.erase(id) > 0)
     common::log_process("worker_entry_valid", {{"worker", id}});
-  m_capacities.note(*info);
+  m_capacities.add(*info);
   m_worker_entries[id] = *info;
   for (const auto& each : m_partitions)
     each->worker_entry(*info);
 }
 
-// Told once, since a broken entry may be renewed all the time.
-void node_core::doubt_worker(const std::string& id, const common::step_error& why)
+// Logged once per worker, since an invalid entry may be renewed again and again.
+void node_core::invalidate_worker_entry(const std::string& id, const common::step_error& why)
 {
   m_worker_entries.erase(id);
-  if (!m_doubted_workers.insert(id).second)
+  if (!m_invalid_workers.insert(id).second)
     return;
-  m_world.metrics.add(common::counter::entries_invalid);
+  m_environment.metrics.add(common::counter::entries_invalid);
   common::log_process("worker_entry_invalid",
                       {{"table", adapter::wire::k_workers_table},
-                       {"key", id.substr(0, k_longest_told)},
-                       {"error", common::to_text(why).substr(0, k_longest_told)}});
+                       {"key", id.substr(0, k_max_logged_length)},
+                       {"error", common::to_text(why).substr(0, k_max_logged_length)}});
   for (const auto& each : m_partitions)
     each->worker_entry_invalid(common::worker_id(id));
 }
@@ -358,7 +360,7 @@
     if (!present.contains(id))
       gone.push_back(id);
   }
-  std::set_difference(m_doubted_workers.begin(), m_doubted_workers.end(), present.begin(),
+  std::set_difference(m_invalid_workers.begin(), m_invalid_workers.end(), present.begin(),
                       present.end(), std::back_inserter(gone));
   for (const std::string& id : gone)
     remove_worker(id);
@@ -368,7 +370,7 @@
 
 void node_core::remove_worker(const std::string& id)
 {
-  const bool known = m_worker_entries.erase(id) + m_doubted_workers.erase(id) > 0;
+  const bool known = m_worker_entries.erase(id) + m_invalid_workers.erase(id) > 0;
   if (!known)
     return;
   for (const auto& each : m_partitions)
@@ -381,7 +383,7 @@
   {
     m_layout.take_in(row);
     if (m_partitions.empty() && m_layout.layout())
-      divide();
+      create_partitions();
     for (const auto& each : m_partitions)
     {
       if (each->partition() == row.at.part && row.at.key == k_owner_key && !row.removed)
--- a/Source/Core/Node/NodeCoreLayout.cpp
+++ b/Source/Core/Node/NodeCoreLayout.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// An instance's part in the cell's partitions: learning how many there are, and how much processor
-// one more of them would get here.
+// How an instance takes part in the cell's partitions: it learns how many there are, and computes
+// the processor time that one more of them would get on this instance.
 
 #include "Node/NodeCore.h"
 
@@ -16,9 +16,9 @@
 {
 namespace
 {
-// Rows of ended jobs stay this many times as long as callers may ask for them.
-constexpr int k_keep_factor = 2;
-// A layout that comes through a peer is asked for this often, and has so long to come.
+// Rows of ended jobs are retained this many times as long as callers may query the jobs' state.
+constexpr int k_ended_retention_factor = 2;
+// Period of the requests for a layout through a peer, and the timeout of each request.
 constexpr std::chrono::milliseconds k_fetch_period{1500};
 } // namespace
 
@@ -28,46 +28,47 @@
     return;
   fetch_layout();
   const ownership_options options;
-  const bool others_first =
+  const bool stronger_peer_exists =
       m_peers.strongest() > options.much_stronger * static_cast<double>(m_processor_millis);
-  if (!others_first && !m_stopping && m_queues.version != 0 && !m_store_path.isolated())
+  if (!stronger_peer_exists && !m_stopping && m_queues.version != 0 && !m_store_path.isolated())
     m_layout.tick({m_peers.count() + 1, m_worker_entries.size()});
   if (m_layout.layout())
-    divide();
+    create_partitions();
 }
 
-// The direct way to the store does not bring the owners' rows: they are read through a peer.
+// While the feed, on the direct path to the store, has not delivered the owner rows, reads them
+// through a peer.
 void node_core::fetch_layout()
 {
-  const common::time_point now = m_world.time.now();
-  if (m_owner_feed.loaded() || now - m_layout_fetched < k_fetch_period)
+  const common::time_point now = m_environment.time.now();
+  if (m_owner_feed.loaded() || now - m_layout_fetched_at < k_fetch_period)
     return;
-  if (std::exchange(m_layout_fetched, now) == common::time_point{})
+  if (std::exchange(m_layout_fetched_at, now) == common::time_point{})
     return;
   m_store.read({k_owners_table, k_whole_cell, {}, {}, 2}, k_fetch_period,
                [this](const adapter::rows_result& result) { on_owner_rows(result.rows); });
 }
 
-void node_core::read_owners_anew()
+void node_core::reread_owners()
 {
-  if (!std::exchange(m_reads_owners_anew, false))
+  if (!std::exchange(m_owners_reread_due, false))
     return;
   m_owner_feed.read_parts(m_layout.layout()->names());
   m_owner_feed.start();
 }
 
-void node_core::divide()
+void node_core::create_partitions()
 {
   const cell_layout& layout = *m_layout.layout();
-  const node_parts parts{m_world.time,
+  const node_parts parts{m_environment.time,
                          m_store,
                          m_feed_store,
                          m_store_path,
                          m_store_clock,
                          m_workers,
                          m_advice,
-                         m_world.metrics,
-                         m_world.send_to_peer,
+                         m_environment.metrics,
+                         m_environment.send_to_peer,
                          m_worker_entries,
                          [this] { return m_worker_feed.loaded(); },
                          m_capacities,
@@ -77,10 +78,10 @@
                          [this](const std::string& partition) { return spare_millis(partition); },
                          [this] { return m_peers.strongest(); }};
   ownership_options options;
-  options.keep_ended = k_keep_factor * m_keep_status;
+  options.keep_ended = k_ended_retention_factor * m_status_retention;
   for (const std::string& name : layout.names())
     m_partitions.push_back(std::make_unique<partition_owner>(parts, m_self, name, options));
-  // Instances that compete for partitions without owners begin with different ones.
+  // Instances that compete for partitions without owners should start with different partitions.
   const std::size_t first = common::stable_hash(m_self.name) % m_partitions.size();
   std::rotate(m_partitions.begin(), m_partitions.begin() + static_cast<std::ptrdiff_t>(first),
               m_partitions.end());
@@ -91,8 +92,8 @@
     for (const auto& each : m_partitions)
       each->hand_over();
   }
-  m_reads_owners_anew = layout.size() > 1;
-  m_gateway.divided();
+  m_owners_reread_due = layout.size() > 1;
+  m_gateway.layout_known();
 }
 
 std::size_t node_core::owned() const
@@ -108,8 +109,8 @@
   return several ? m_processor_millis / static_cast<std::uint32_t>(owned + 1) : m_processor_millis;
 }
 
-// Of several partitions that it owns, the first ones have the first claim, so that it gives back
-// the last ones alone.
+// Among the partitions that this instance owns, earlier ones have the first claim on its processor
+// time, so that an overcommitted instance releases only the last ones.
 std::uint32_t node_core::spare_millis(const std::string& partition) const
 {
   std::size_t before = 0;
@@ -126,10 +127,10 @@
   return shared_millis(before);
 }
 
-void node_core::tell_strength()
+void node_core::report_strength()
 {
-  m_told_strength = shared_millis(owned());
+  m_reported_strength = shared_millis(owned());
   for (const std::string& peer : m_linked)
-    m_world.send_to_peer(peer, common::strength_report{m_told_strength});
+    m_environment.send_to_peer(peer, common::strength_report{m_reported_strength});
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/NodeService.cpp
+++ b/Source/Core/Node/NodeService.cpp
@@ -14,28 +14,30 @@
 {
 namespace
 {
-// One held call and a few orders at a time; each new connection to a worker is priced.
+// One hold that waits for its reply, and a few start and stop requests at a time. Each new
+// connection to a worker is priced.
 constexpr std::size_t k_worker_connections = 3;
-// Three feeds that wait, commits, and reads and writes for callers.
+// Three feeds, each with a waiting request, commits, and reads and writes for callers.
 constexpr std::size_t k_store_connections = 24;
-// Calls that may wait for a connection, and bytes of an answer.
-constexpr std::size_t k_most_waiting = 2000;
-constexpr std::size_t k_most_answer = 16U << 20U;
-// The platform hands new callers on for two more checks of a second each after a stop begins.
-constexpr std::chrono::milliseconds k_least_stop{2300};
-// Before the platform kills the process.
+// Limits for the requests that wait for a connection and for the size of a reply.
+constexpr std::size_t k_max_waiting_calls = 2000;
+constexpr std::size_t k_max_answer_bytes = 16U << 20U;
+// After a stop begins, the platform sends new callers here until it has made two more readiness
+// checks, which are 1 s apart.
+constexpr std::chrono::milliseconds k_min_stop_time{2300};
+// Margin before the platform kills the process at the end of the stop grace.
 constexpr std::chrono::milliseconds k_stop_reserve{700};
 } // namespace
 
-node_service::node_service(const node_settings& settings, const std::string& life,
-                           std::function<std::optional<node_settings>()> reread)
+node_service::node_service(const node_settings& settings, const std::string& incarnation,
+                           std::function<std::optional<node_settings>()> reread_settings)
     : m_settings(settings),
-      m_reread(std::move(reread)),
+      m_reread_settings(std::move(reread_settings)),
       m_io(1),
       m_time(m_io),
-      m_worker_http(m_io, {k_worker_connections, k_most_waiting, k_most_answer}),
-      m_store_http(m_io, {k_store_connections, k_most_waiting, k_most_answer}),
-      m_core(settings, life,
+      m_worker_http(m_io, {k_worker_connections, k_max_waiting_calls, k_max_answer_bytes}),
+      m_store_http(m_io, {k_store_connections, k_max_waiting_calls, k_max_answer_bytes}),
+      m_core(settings, incarnation,
              {m_time, m_worker_http, m_store_http,
               [this](const std::string& peer, const common::peer_message& message)
               { m_peers->send(peer, message); },
@@ -101,17 +103,18 @@
 
 void node_service::reload()
 {
-  const auto settings = m_reread();
+  const auto settings = m_reread_settings();
   if (!settings)
   {
     common::log_process("reload_failed", {{"kept", "the earlier settings"}});
     return;
   }
-  const bool moved = !(settings->callers == m_settings.callers) ||
-                     !(settings->store == m_settings.store) || settings->zone != m_settings.zone;
+  const bool needs_restart = !(settings->callers == m_settings.callers) ||
+                             !(settings->store == m_settings.store) ||
+                             settings->zone != m_settings.zone;
   m_settings.stop_grace = settings->stop_grace;
-  m_settings.keep_status = settings->keep_status;
-  common::log_process("reloaded", {{"needs_restart", moved}});
+  m_settings.status_retention = settings->status_retention;
+  common::log_process("reloaded", {{"needs_restart", needs_restart}});
 }
 
 void node_service::stop()
@@ -128,10 +131,10 @@
 {
   if (!m_stopping_since)
     return false;
-  const common::duration since = now - *m_stopping_since;
-  if (since >= m_settings.stop_grace - k_stop_reserve)
+  const common::duration elapsed = now - *m_stopping_since;
+  if (elapsed >= m_settings.stop_grace - k_stop_reserve)
     return true;
-  return m_core.handed_over() && since >= k_least_stop && m_callers->requests_in_flight() == 0;
+  return m_core.handed_over() && elapsed >= k_min_stop_time && m_callers->requests_in_flight() == 0;
 }
 
 void node_service::tick()
--- a/Source/Core/Node/NodeService.h
+++ b/Source/Core/Node/NodeService.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// The process of one instance on the platform: the core's sockets, clock and signals around one
-// event loop.
+// The process of one instance on the platform: connects the core to sockets, clock and signals on
+// one event loop.
 
 #include <functional>
 #include <optional>
@@ -25,14 +25,14 @@
 class node_service
 {
 public:
-  // `reread` gives the settings anew, or nothing if they are wrong.
-  node_service(const node_settings& settings, const std::string& life,
-               std::function<std::optional<node_settings>()> reread);
+  // `reread_settings` reads the settings again; it returns none if they are invalid.
+  node_service(const node_settings& settings, const std::string& incarnation,
+               std::function<std::optional<node_settings>()> reread_settings);
   ~node_service();
   node_service(const node_service&) = delete;
   node_service& operator=(const node_service&) = delete;
 
-  // Returns after a planned stop.
+  // Runs the event loop; returns after a planned stop.
   void run();
 
 private:
@@ -43,7 +43,7 @@
   void tick();
 
   node_settings m_settings;
-  std::function<std::optional<node_settings>()> m_reread;
+  std::function<std::optional<node_settings>()> m_reread_settings;
   boost::asio::io_context m_io;
   asio_timekeeper m_time;
   common::metrics m_metrics;
--- a/Source/Core/Node/NodeSettings.cpp
+++ b/Source/Core/Node/NodeSettings.cpp
@@ -12,24 +12,24 @@
 using common::endpoint;
 using common::field_reader;
 
-constexpr double k_millis_of_a_core = 1000.0;
-constexpr double k_most_cores = 1024.0;
-constexpr std::int64_t k_most_partitions = 64;
-constexpr const char* k_address_form = "an address and a port, such as 10.1.0.13:8161";
+constexpr double k_millis_per_core = 1000.0;
+constexpr double k_max_cores = 1024.0;
+constexpr std::int64_t k_max_partitions = 64;
+constexpr const char* k_address_format = "an address and a port, such as 10.1.0.13:8161";
 
 endpoint address_field(field_reader& fields, const char* name)
 {
   const std::string text = fields.text(name);
-  const auto where = common::endpoint_from(text);
-  if (!where && !text.empty())
-    fields.problem(name, "\"" + text + "\" is not an address", k_address_form);
-  return where.value_or(endpoint{});
+  const auto parsed_address = common::endpoint_from(text);
+  if (!parsed_address && !text.empty())
+    fields.problem(name, "\"" + text + "\" is not an address", k_address_format);
+  return parsed_address.value_or(endpoint{});
 }
 
-common::duration time_field(field_reader& fields, const char* name, std::int64_t most,
+common::duration time_field(field_reader& fields, const char* name, std::int64_t max,
                             common::duration unit)
 {
-  return fields.integer(name, {1, most}) * unit;
+  return fields.integer(name, {1, max}) * unit;
 }
 } // namespace
 
@@ -57,14 +57,14 @@
   settings.stop_grace = time_field(fields, "stop_grace_s", 3600, std::chrono::seconds{1});
   settings.lease_limit =
       time_field(fields, "lease_limit_ms", 3600000, std::chrono::milliseconds{1});
-  settings.keep_status = time_field(fields, "keep_status_s", 864000, std::chrono::seconds{1});
+  settings.status_retention = time_field(fields, "keep_status_s", 864000, std::chrono::seconds{1});
   settings.configuration_limit =
       std::chrono::milliseconds(fields.integer("configuration_limit_ms", {1000, 3600000}, 3000));
   settings.partitions =
-      static_cast<std::size_t>(fields.integer("partitions", {0, k_most_partitions}, 0));
-  const double share = fields.number("processor_share", {0.001, k_most_cores}, 1.0);
-  const double cores = fields.number("processor_cores", {0.001, k_most_cores}, 1.0);
-  settings.processor_millis = static_cast<std::uint32_t>(share * cores * k_millis_of_a_core);
+      static_cast<std::size_t>(fields.integer("partitions", {0, k_max_partitions}, 0));
+  const double share = fields.number("processor_share", {0.001, k_max_cores}, 1.0);
+  const double cores = fields.number("processor_cores", {0.001, k_max_cores}, 1.0);
+  settings.processor_millis = static_cast<std::uint32_t>(share * cores * k_millis_per_core);
   fields.finish();
   if (problems.size() > before)
     return std::nullopt;
--- a/Source/Core/Node/NodeSettings.h
+++ b/Source/Core/Node/NodeSettings.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The settings file of an instance on the platform: JSON with comments, filled from
+// The settings file of an instance on the platform: JSON with comments, generated from
 // platform/settings.jsonc.template.
 
 #include <optional>
@@ -22,19 +22,21 @@
   std::string zone;
   common::endpoint callers;
   common::endpoint ready;
-  common::endpoint metrics; // the first of the ports that are ours
-  common::endpoint peers;   // the second
+  common::endpoint metrics; // first_own_port, the first port reserved for this process
+  common::endpoint peers;   // the second reserved port
   common::endpoint store;
   std::optional<common::endpoint> advice;
   common::duration stop_grace = std::chrono::seconds{6};
   common::duration lease_limit = std::chrono::seconds{10};
-  common::duration keep_status = std::chrono::seconds{120};
-  common::duration configuration_limit = std::chrono::seconds{3}; // until it is in force
-  std::size_t partitions = 0;            // of a new cell; 0: as many as its size asks for
-  std::uint32_t processor_millis = 1000; // that this instance may use, in thousandths of a core
+  common::duration status_retention = std::chrono::seconds{120};
+  common::duration configuration_limit =
+      std::chrono::seconds{3}; // within which a confirmed version is in force
+  std::size_t partitions = 0;  // of a new cell; 0: derived from the cell's size
+  std::uint32_t processor_millis =
+      1000; // processor time this instance may use, in thousandths of a core
 };
 
-// Checks the whole text and notes every mistake. None if there is any.
+// Checks the whole text and adds every mistake to `problems`. Returns none if there is any.
 std::optional<node_settings> parse_node_settings(const std::string& text, const std::string& file,
                                                  common::problem_list& problems);
 } // namespace yardhill::node
--- a/Source/Core/Node/PeerLinks.cpp
+++ b/Source/Core/Node/PeerLinks.cpp
@@ -15,26 +15,26 @@
 namespace
 {
 constexpr std::chrono::milliseconds k_write_timeout{900};
-constexpr std::chrono::milliseconds k_retry{500};
+constexpr std::chrono::milliseconds k_retry_period{500};
 } // namespace
 
 peer_links::peer_links(boost::asio::io_context& io, common::timekeeper& time,
                        adapter::store_client& store, const std::string& name,
-                       const std::string& zone, const common::endpoint& where, link_events events,
-                       common::metrics& counts)
+                       const std::string& zone, const common::endpoint& own_address,
+                       link_events events, common::metrics& counts)
     : m_io(io),
-      m_timer(time),
+      m_retry_timer(time),
       m_store(store),
       m_name(name),
-      m_where(where),
+      m_own_address(own_address),
       m_events(std::move(events)),
       m_feed(time, store, k_instances_table, {""},
              {[this](const auto& rows) { on_rows(rows); },
               [this](const auto& rows) { on_rows(rows); },
               {}}),
       m_mesh({peer::k_protocol_version, common::instance_id(name), common::zone_id(zone),
-              where.address, where.port},
-             // The mesh has a thread of its own.
+              own_address.address, own_address.port},
+             // The mesh calls these on its own thread.
              {[this](const common::instance_id& id, const common::zone_id& peer_zone) {
                 boost::asio::post(m_io, [this, id, peer_zone]
                                   { m_events.linked(id.value, peer_zone.value); });
@@ -60,13 +60,13 @@
 void peer_links::announce()
 {
   adapter::transaction change;
-  change.puts.push_back({{k_instances_table, "", m_name}, to_row_text(m_where)});
+  change.puts.push_back({{k_instances_table, "", m_name}, to_row_text(m_own_address)});
   m_store.transact(change, k_write_timeout,
                    [this](const adapter::transaction_result& result)
                    {
                      if (result.end == adapter::store_end::done)
                        return;
-                     m_timer.start(k_retry, [this] { announce(); });
+                     m_retry_timer.start(k_retry_period, [this] { announce(); });
                    });
 }
 
@@ -76,13 +76,13 @@
   {
     if (row.removed || row.at.key == m_name)
       continue;
-    const auto where = address_from(row.value);
-    if (where)
-      m_mesh.dial(*where);
+    const auto own_address = address_from(row.value);
+    if (own_address)
+      m_mesh.dial(*own_address);
     else
       common::log_process("row_damaged", {{"table", k_instances_table},
                                           {"key", row.at.key},
-                                          {"error", common::to_text(where.error())}});
+                                          {"error", common::to_text(own_address.error())}});
   }
 }
 
--- a/Source/Core/Node/PeerLinks.h
+++ b/Source/Core/Node/PeerLinks.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// The links between the instances, brought onto the event loop, and the table by which the
-// instances find each other.
+// The links to the other instances: passes events of the peer mesh, which has its own thread, to
+// the event loop, and maintains the table by which the instances find each other.
 
 #include <functional>
 #include <optional>
@@ -17,12 +17,12 @@
 
 namespace yardhill::node
 {
-// One row an instance: where it listens for its peers.
+// One row per instance: the address on which it listens for peers.
 inline constexpr const char* k_instances_table = "instances";
 
 struct link_events
 {
-  // Peers by their instance's name.
+  // `peer` is the name of the peer's instance.
   std::function<void(const std::string& peer, const std::string& zone)> linked;
   std::function<void(const std::string& peer)> unlinked;
   std::function<void(const std::string& peer, const common::peer_message&)> received;
@@ -32,10 +32,10 @@
 {
 public:
   peer_links(boost::asio::io_context& io, common::timekeeper& time, adapter::store_client& store,
-             const std::string& name, const std::string& zone, const common::endpoint& where,
+             const std::string& name, const std::string& zone, const common::endpoint& own_address,
              link_events events, common::metrics& counts);
 
-  // Enters this instance into the table and follows it.
+  // Writes this instance's row to the table and follows the table.
   void start();
   void send(const std::string& peer, const common::peer_message& message);
 
@@ -44,10 +44,10 @@
   void on_rows(const std::vector<adapter::row>& rows);
 
   boost::asio::io_context& m_io;
-  common::one_shot_timer m_timer;
+  common::one_shot_timer m_retry_timer;
   adapter::store_client& m_store;
   std::string m_name;
-  common::endpoint m_where;
+  common::endpoint m_own_address;
   link_events m_events;
   table_feed m_feed;
   peer::peer_mesh m_mesh;
--- a/Source/Core/Node/PeerMonitor.cpp
+++ b/Source/Core/Node/PeerMonitor.cpp
@@ -14,30 +14,33 @@
 {
 namespace
 {
-// Four questions a second and peer: two missed are still noticed before a renewal is overdue.
-constexpr std::chrono::milliseconds k_ask_period{250};
-// An answer takes 3 ms between zones; a machine that is 5 times slower, or whose processor share is
-// spent for a tenth of a second, still answers within this time.
-constexpr std::chrono::milliseconds k_answer_patience{400};
-// An owner's questions come every 250 ms: two missed, and a slow way.
-constexpr std::chrono::milliseconds k_question_patience{650};
-// A busy peer may be so many times as late as it was lately: a backlog that grows by a second each
-// second doubles from one message to the next.
+// Each peer gets four queries a second: two lost ones in a row are still noticed before a renewal
+// is overdue.
+constexpr std::chrono::milliseconds k_query_period{250};
+// A reply takes 3 ms between zones. A machine that is 5 times slower, or whose processor share is
+// used up for 0.1 s, still replies within this time.
+constexpr std::chrono::milliseconds k_answer_timeout{400};
+// An owner's queries come every 250 ms: this allows for two lost ones and a slow link.
+constexpr std::chrono::milliseconds k_owner_query_timeout{650};
+// A busy peer may be late by this multiple of its recent lateness: a backlog that grows by a second
+// each second doubles from one message to the next.
 constexpr int k_lateness_factor = 2;
-// After so long without a tick this process stood still itself, and knows nothing of others.
-constexpr std::chrono::milliseconds k_own_pause{200};
-// A peer that could not relay a call is not asked to for this time.
-constexpr std::chrono::milliseconds k_avoid{500};
-// So many peers are all asked in each round. Of more, an owner asks those weaker than itself in
-// turn, so that each is asked once in so many rounds: a link tells that its process is gone, so
-// this only bounds how late a frozen or cut one is noticed.
-constexpr std::size_t k_few_peers = 24;
-constexpr std::uint64_t k_turns = 4;
-// An instance in doubt with many peers asks so many: of 147 of which a third is turned away as
-// well, all of them are without a way once in 3,000 times, and then the next ones are tried.
-constexpr std::size_t k_asked_in_doubt = 8;
-// Of many peers of other zones, so many silent ones tell that the zone is cut off.
-constexpr std::size_t k_silent_others = 5;
+// If no tick came for this long, this process was stalled itself and cannot judge its peers.
+constexpr std::chrono::milliseconds k_own_stall{200};
+// A peer that could not relay a request gets no further ones for this time.
+constexpr std::chrono::milliseconds k_avoid_time{500};
+// Up to k_max_peers_all_queried peers are all queried in each round. With more peers, an owner
+// queries a peer that has less than half its own processor time only once in k_query_turns rounds:
+// a broken link shows that a process is gone, so the longer period only bounds how late a frozen or
+// unreachable peer is noticed.
+constexpr std::size_t k_max_peers_all_queried = 24;
+constexpr std::uint64_t k_query_turns = 4;
+// An instance in doubt that has many peers queries this many. If the store rejects a third of 147
+// instances, none of the queried peers reaches it once in 3,000 times, and then the next peers are
+// tried.
+constexpr std::size_t k_peers_queried_in_doubt = 8;
+// With many peers in other zones, this many silent ones show that the other zones are unreachable.
+constexpr std::size_t k_silent_peers_if_unreachable = 5;
 } // namespace
 
 peer_monitor::peer_monitor(common::timekeeper& time, own_identity self, sender send,
@@ -53,7 +56,7 @@
   each.zone = zone;
   each.rank = common::stable_hash(name, common::stable_hash(m_self.name));
   each.heard_at = m_time.now();
-  m_other_zones |= zone != m_self.zone;
+  m_other_zones_linked |= zone != m_self.zone;
   m_events.reachable(name);
 }
 
@@ -71,23 +74,23 @@
     return;
   const common::time_point now = m_time.now();
   if (found->second.asks_often)
-    found->second.gaps.note(now - found->second.heard_at, now);
+    found->second.gaps.record(now - found->second.heard_at, now);
   found->second.heard_at = now;
   if (!std::exchange(found->second.silent, false))
     return;
-  found->second.asked_at.reset();
+  found->second.unanswered_since.reset();
   common::log_process("peer_heard", {{"peer", name}});
   m_events.reachable(name);
 }
 
-void peer_monitor::on_question(const std::string& name, const common::way_question& question,
-                               const common::way_report& own)
+void peer_monitor::on_query(const std::string& name, const common::way_question& query,
+                            const common::way_report& own)
 {
   const auto found = m_peers.find(name);
   if (found != m_peers.end())
   {
-    found->second.asks_often = question.often;
-    found->second.told_late = std::chrono::milliseconds(question.late_ms);
+    found->second.asks_often = query.often;
+    found->second.reported_lateness = std::chrono::milliseconds(query.late_ms);
   }
   m_send(name, own);
 }
@@ -97,7 +100,7 @@
   const auto found = m_peers.find(name);
   if (found == m_peers.end())
     return;
-  found->second.asked_at.reset();
+  found->second.unanswered_since.reset();
   found->second.has_way = report.has_way;
 }
 
@@ -112,108 +115,112 @@
 {
   const auto found = m_peers.find(name);
   if (found != m_peers.end())
-    found->second.avoid_until = m_time.now() + k_avoid;
+    found->second.avoid_until = m_time.now() + k_avoid_time;
 }
 
-common::duration peer_monitor::patience(const peer& each, common::duration usual,
-                                        common::time_point now) const
+common::duration peer_monitor::timeout(const peer& each, common::duration base,
+                                       common::time_point now) const
 {
-  const common::duration late = std::max<common::duration>(each.gaps.longest(now), each.told_late);
-  return std::clamp<common::duration>(k_lateness_factor * late, usual, k_most_patience);
+  const common::duration late =
+      std::max<common::duration>(each.gaps.longest(now), each.reported_lateness);
+  return std::clamp<common::duration>(k_lateness_factor * late, base, k_max_timeout);
 }
 
 bool peer_monitor::overdue(const peer& each, common::time_point now) const
 {
-  if (each.asked_at && now - *each.asked_at > patience(each, k_answer_patience, now))
+  if (each.unanswered_since && now - *each.unanswered_since > timeout(each, k_answer_timeout, now))
     return true;
-  return each.asks_often && now - each.heard_at > patience(each, k_question_patience, now);
+  return each.asks_often && now - each.heard_at > timeout(each, k_owner_query_timeout, now);
 }
 
-void peer_monitor::forgive(common::time_point now)
+void peer_monitor::restart_timeouts(common::time_point now)
 {
   for (auto& [name, each] : m_peers)
   {
     each.heard_at = now;
-    if (each.asked_at)
-      each.asked_at = now;
+    if (each.unanswered_since)
+      each.unanswered_since = now;
   }
 }
 
-common::way_question peer_monitor::question(bool often, common::time_point now) const
+common::way_question peer_monitor::make_query(bool often, common::time_point now) const
 {
-  const auto late = std::chrono::floor<std::chrono::milliseconds>(m_ticks.longest(now));
+  const auto late = std::chrono::floor<std::chrono::milliseconds>(m_tick_gaps.longest(now));
   return {often, static_cast<std::uint32_t>(late.count())};
 }
 
-void peer_monitor::ask_one(const std::string& name, peer& each, bool often, common::time_point now)
+void peer_monitor::send_query(const std::string& name, peer& each, bool often,
+                              common::time_point now)
 {
-  if (!each.asked_at)
-    each.asked_at = now;
-  m_send(name, question(often, now));
+  if (!each.unanswered_since)
+    each.unanswered_since = now;
+  m_send(name, make_query(often, now));
 }
 
-void peer_monitor::ask_as_owner(common::time_point now)
+void peer_monitor::query_as_owner(common::time_point now)
 {
-  const std::uint64_t turn = m_rounds++ % k_turns;
+  const std::uint64_t turn = m_query_rounds++ % k_query_turns;
   for (auto& [name, each] : m_peers)
   {
-    const bool often =
-        m_peers.size() <= k_few_peers || 2 * each.processor_millis >= m_self.processor_millis;
-    if (often || each.silent || each.rank % k_turns == turn)
-      ask_one(name, each, often, now);
+    const bool often = m_peers.size() <= k_max_peers_all_queried ||
+                       2 * each.processor_millis >= m_self.processor_millis;
+    if (often || each.silent || each.rank % k_query_turns == turn)
+      send_query(name, each, often, now);
   }
 }
 
-// Those first in this instance's order, and whoever is silent: it may be heard again.
-void peer_monitor::ask_some(common::time_point now)
+// Queries the first peers in this instance's order of preference, and all silent ones, since they
+// may have become reachable again.
+void peer_monitor::query_some(common::time_point now)
 {
   std::vector<std::pair<std::uint64_t, const std::string*>> order;
   for (const auto& [name, each] : m_peers)
     order.emplace_back(each.rank, &name);
   std::sort(order.begin(), order.end());
-  const std::size_t most = m_peers.size() <= k_few_peers ? m_peers.size() : k_asked_in_doubt;
-  std::size_t asked = 0;
+  const std::size_t limit =
+      m_peers.size() <= k_max_peers_all_queried ? m_peers.size() : k_peers_queried_in_doubt;
+  std::size_t queried = 0;
   for (const auto& [rank, name] : order)
   {
     peer& each = m_peers.at(*name);
-    if (asked == most && !each.silent)
+    if (queried == limit && !each.silent)
       continue;
-    asked += each.silent ? 0 : 1;
-    ask_one(*name, each, false, now);
+    queried += each.silent ? 0 : 1;
+    send_query(*name, each, false, now);
   }
 }
 
-void peer_monitor::tell_stopped(common::time_point now)
+void peer_monitor::announce_stop(common::time_point now)
 {
   for (auto& [name, each] : m_peers)
-    ask_one(name, each, false, now);
+    send_query(name, each, false, now);
 }
 
-void peer_monitor::ask(common::time_point now, bool owner, bool in_doubt)
+void peer_monitor::send_queries(common::time_point now, bool owner, bool in_doubt)
 {
-  m_last_asked = now;
+  m_last_query_at = now;
   if (owner)
   {
-    ask_as_owner(now);
+    query_as_owner(now);
     return;
   }
   if (in_doubt)
   {
-    ask_some(now);
+    query_some(now);
     return;
   }
   for (auto& [name, each] : m_peers)
   {
     if (each.silent)
-      ask_one(name, each, false, now);
+      send_query(name, each, false, now);
   }
 }
 
 void peer_monitor::tick(common::time_point now, bool owner, bool in_doubt)
 {
-  m_ticks.note(now - m_last_tick, now);
-  if (now - m_last_tick > k_own_pause)
-    forgive(now);
+  m_tick_gaps.record(now - m_last_tick, now);
+  if (now - m_last_tick > k_own_stall)
+    restart_timeouts(now);
   m_last_tick = now;
   std::vector<std::string> silent;
   for (auto& [name, each] : m_peers)
@@ -228,15 +235,15 @@
     common::log_process("peer_silent", {{"peer", name}});
     m_events.unreachable(name);
   }
-  // One last question tells the peers that no more will come.
+  // A last query tells the peers not to expect periodic queries any more.
   const bool stopped = m_was_owner && !owner;
   m_was_owner = owner;
   const bool any_silent = std::any_of(m_peers.begin(), m_peers.end(),
                                       [](const auto& each) { return each.second.silent; });
   if (stopped)
-    tell_stopped(now);
-  else if ((owner || in_doubt || any_silent) && now - m_last_asked >= k_ask_period)
-    ask(now, owner, in_doubt);
+    announce_stop(now);
+  else if ((owner || in_doubt || any_silent) && now - m_last_query_at >= k_query_period)
+    send_queries(now, owner, in_doubt);
 }
 
 std::optional<std::string> peer_monitor::relay_peer() const
@@ -257,18 +264,18 @@
 
 std::uint32_t peer_monitor::strongest() const
 {
-  std::uint32_t most = 0;
+  std::uint32_t limit = 0;
   for (const auto& [name, each] : m_peers)
   {
     if (!each.silent && each.has_way)
-      most = std::max(most, each.processor_millis);
+      limit = std::max(limit, each.processor_millis);
   }
-  return most;
+  return limit;
 }
 
 bool peer_monitor::cut_off() const
 {
-  if (!m_other_zones)
+  if (!m_other_zones_linked)
     return false;
   const common::time_point now = m_time.now();
   std::size_t others = 0;
@@ -279,9 +286,9 @@
       continue;
     ++others;
     silent += each.silent ? 1 : 0;
-    if (!each.silent && now - each.heard_at < k_answer_patience)
+    if (!each.silent && now - each.heard_at < k_answer_timeout)
       return false;
   }
-  return silent >= (others <= k_few_peers ? others : k_silent_others);
+  return silent >= (others <= k_max_peers_all_queried ? others : k_silent_peers_if_unreachable);
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/PeerMonitor.h
+++ b/Source/Core/Node/PeerMonitor.h
@@ -3,19 +3,19 @@
 
 #pragma once
 
-// Which linked peers live, and which of them reach the store.
+// Tracks which linked peers are alive and which of them reach the store.
 //
-// A broken link tells of a dead process at once, but of a machine behind a cut only after its
-// time-out. So an owner asks its peers all the time, and an instance that doubts its own way to the
-// store, or knows of silent peers, asks some as long as it does. A peer that leaves a question
-// unanswered, or an owner that stops asking, counts as silent until its next message. An owner
-// whose messages have come late lately, or that says that its event loop was late, is busy: it
-// counts as silent only after longer than that, up to a bound.
+// A broken link reveals a dead process at once, but an unreachable machine only after the link's
+// timeout. So an owner queries its peers periodically, and so does an instance that doubts its own
+// path to the store or knows of silent peers, with some of them, for as long as that lasts. A peer
+// that leaves a query unanswered, or an owner that stops sending queries, counts as silent until
+// its next message. An owner whose recent messages came late, or that reports that its event loop
+// was late, is busy: it counts as silent only after a longer time, up to a bound.
 //
-// What this costs must not grow with the square of the instances: a store that turns a third of 147
-// away would have 50 of them ask all others, 30,000 questions a second. So an instance in doubt
-// asks a few peers, others than its neighbours do, and an owner of many asks those often that might
-// take over from it and the others in turn.
+// The cost must not grow with the square of the number of instances: if the store rejected a third
+// of 147 instances, 50 of them would query all others, 30,000 queries a second. So an instance in
+// doubt queries a few peers, different ones than other instances do, and an owner with many peers
+// queries those often that might take over from it, and the others in turn.
 
 #include <functional>
 #include <map>
@@ -28,7 +28,7 @@
 
 namespace yardhill::node
 {
-// This instance, for its peers.
+// What peers need to know of this instance.
 struct own_identity
 {
   std::string name;
@@ -38,7 +38,7 @@
 
 struct peer_events
 {
-  std::function<void(const std::string& peer)> reachable;   // linked, or heard again
+  std::function<void(const std::string& peer)> reachable;   // linked, or no longer silent
   std::function<void(const std::string& peer)> unreachable; // silent, or its link is broken
 };
 
@@ -51,59 +51,65 @@
 
   void linked(const std::string& peer, const std::string& zone);
   void unlinked(const std::string& peer);
-  // Any message of the peer shows that it lives.
+  // Called for any message of the peer, since each shows that the peer is alive.
   void heard(const std::string& peer);
-  // `own`: what this instance says of itself.
-  void on_question(const std::string& peer, const common::way_question& question,
-                   const common::way_report& own);
+  // `own`: the report that this instance sends back.
+  void on_query(const std::string& peer, const common::way_question& query,
+                const common::way_report& own);
   void on_report(const std::string& peer, const common::way_report& report);
   void on_strength(const std::string& peer, const common::strength_report& report);
-  // The peer has just turned a relayed call away, or left it unanswered.
+  // The peer has just rejected a relayed request or left it unanswered.
   void avoid(const std::string& peer);
 
-  // Called often. `owner`: this instance owns a partition; `in_doubt`: of its way to the store.
+  // Called at each tick of the event loop. `owner`: this instance owns a partition; `in_doubt`: it
+  // doubts its path to the store.
   void tick(common::time_point now, bool owner, bool in_doubt);
 
-  // A peer that lives and, as far as is known, reaches the store; an owner only if there is no
-  // other. Each instance has an order of its own, so that one peer is not asked by all.
+  // The peer to relay requests to the store through: one that is alive and, as far as is known,
+  // reaches the store; an owner only if there is no other. Each instance has its own order of
+  // preference, so that not all instances use the same peer.
   std::optional<std::string> relay_peer() const;
-  // Peers that are linked, silent ones as well.
+  // The number of linked peers, including silent ones.
   std::size_t count() const { return m_peers.size(); }
-  // The most processor that a living peer may use that, as far as is known, reaches the store.
+  // The largest processor time, in thousandths of a core, that a peer has reported which is alive
+  // and, as far as is known, reaches the store; 0 if there is no such peer.
   std::uint32_t strongest() const;
-  // Whether there are other zones and no peer there can be heard: of many peers, whether a few that
-  // were asked are silent and none of the others has been heard lately.
+  // Whether all other zones are unreachable: peers there have been linked, and all that still are
+  // linked are silent. With many peers there, a few silent ones are enough if no other has been
+  // heard lately.
   bool cut_off() const;
 
 private:
-  // An owner without a message for this long is silent, however late its messages were before: well
-  // before its renewals alone tell that it is gone (ownership_options::silence).
-  static constexpr std::chrono::milliseconds k_most_patience{2000};
+  // An owner that has sent no message for this long is silent, however late its messages were
+  // before. This is well before its missing renewals alone show that it is gone
+  // (ownership_options::silence).
+  static constexpr std::chrono::milliseconds k_max_timeout{2000};
 
   struct peer
   {
     std::string zone;
-    std::uint64_t rank = 0; // in the order of this instance
+    std::uint64_t rank = 0; // in this instance's order of preference; the lowest comes first
     bool silent = false;
-    bool asks_often = false; // it owns a partition
-    bool has_way = true;     // until it says otherwise
+    bool asks_often = false; // it owns a partition and sends queries periodically
+    bool has_way = true;     // whether it reaches the store; assumed until it reports otherwise
     std::uint32_t processor_millis = 0;
     common::time_point heard_at;
     common::time_point avoid_until{};
-    std::optional<common::time_point> asked_at; // the oldest question without an answer
-    message_gaps gaps{k_most_patience};         // while it owns a partition
-    std::chrono::milliseconds told_late{0};     // by itself
+    std::optional<common::time_point>
+        unanswered_since;             // when the oldest query without a reply was sent
+    message_gaps gaps{k_max_timeout}; // between messages while it owns a partition
+    std::chrono::milliseconds reported_lateness{0}; // of its event loop, as it reports itself
   };
 
-  common::way_question question(bool often, common::time_point now) const;
-  void ask(common::time_point now, bool owner, bool in_doubt);
-  void ask_one(const std::string& name, peer& each, bool often, common::time_point now);
-  void ask_as_owner(common::time_point now);
-  void ask_some(common::time_point now);
-  void tell_stopped(common::time_point now);
-  void forgive(common::time_point now);
-  // How long a peer's message may take that takes `usual` at most if the peer is not busy.
-  common::duration patience(const peer& each, common::duration usual, common::time_point now) const;
+  common::way_question make_query(bool often, common::time_point now) const;
+  void send_queries(common::time_point now, bool owner, bool in_doubt);
+  void send_query(const std::string& name, peer& each, bool often, common::time_point now);
+  void query_as_owner(common::time_point now);
+  void query_some(common::time_point now);
+  void announce_stop(common::time_point now);
+  void restart_timeouts(common::time_point now);
+  // The timeout for a message of the peer: `base` if the peer is not busy, longer if it is.
+  common::duration timeout(const peer& each, common::duration base, common::time_point now) const;
   bool overdue(const peer& each, common::time_point now) const;
 
   common::timekeeper& m_time;
@@ -111,11 +117,11 @@
   sender m_send;
   peer_events m_events;
   std::map<std::string, peer> m_peers;
-  bool m_other_zones = false; // a peer of another zone has been linked once
+  bool m_other_zones_linked = false; // a peer of another zone has been linked at least once
   common::time_point m_last_tick{};
-  message_gaps m_ticks{k_most_patience};
-  common::time_point m_last_asked{};
-  std::uint64_t m_rounds = 0; // of an owner's questions
+  message_gaps m_tick_gaps{k_max_timeout};
+  common::time_point m_last_query_at{};
+  std::uint64_t m_query_rounds = 0; // of queries that this instance has sent as an owner
   bool m_was_owner = false;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/ProcessReport.cpp
+++ b/Source/Core/Node/ProcessReport.cpp
@@ -35,7 +35,7 @@
   const common::time_point now = m_time.now();
   m_metrics.set(common::gauge::loop_late_ms, milliseconds_of(m_loop.lateness()));
   const bool line_due = due(now);
-  if (line_due || !m_sampled || now - *m_sampled >= k_sample_period)
+  if (line_due || !m_sampled_at || now - *m_sampled_at >= k_sample_period)
     sample_cpu(now);
   if (!line_due)
     return false;
@@ -46,31 +46,32 @@
 
 bool process_report::due(common::time_point now) const
 {
-  if (!m_logged)
+  if (!m_logged_at)
     return true;
-  const common::duration since = now - *m_logged;
-  return since >= k_period || (since >= k_late_period && m_loop.lateness() > k_late);
+  const common::duration since = now - *m_logged_at;
+  return since >= k_line_period ||
+         (since >= k_late_line_period && m_loop.lateness() > k_late_threshold);
 }
 
 void process_report::sample_cpu(common::time_point now)
 {
   const common::duration used = m_cpu_time();
-  // The difference of whole totals, so that no fraction of a millisecond is lost.
+  // Both totals are truncated before the subtraction, so that no fraction of a millisecond is lost.
   m_metrics.add(common::counter::process_cpu_ms, milliseconds_of(used) - milliseconds_of(m_cpu));
   m_cpu = used;
-  m_sampled = now;
+  m_sampled_at = now;
 }
 
 void process_report::close_interval(common::time_point now)
 {
   const common::metrics::recorded passes = m_metrics.total(common::timing::decision);
-  m_latest.length = m_logged ? now - *m_logged : common::duration{0};
+  m_latest.length = m_logged_at ? now - *m_logged_at : common::duration{0};
   m_latest.cpu = m_cpu - m_cpu_logged;
   m_latest.worst_lateness = m_loop.take_worst();
   m_latest.passes = passes.count - m_passes_logged.count;
   m_latest.pass_time = passes.sum - m_passes_logged.sum;
   m_metrics.set(common::gauge::loop_late_worst_ms, milliseconds_of(m_latest.worst_lateness));
-  m_logged = now;
+  m_logged_at = now;
   m_cpu_logged = m_cpu;
   m_passes_logged = passes;
 }
--- a/Source/Core/Node/ProcessReport.h
+++ b/Source/Core/Node/ProcessReport.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// How busy this process is, as gauges and in the log's `counters` line: how late its loop is, what
-// processor time it uses, what it sends, how far an owner is behind.
+// Reports the load of this process as gauges and in the log's `counters` line: the lateness of its
+// event loop, the processor time it uses, the requests it sends, and the backlog of an owner.
 
 #include <cstdint>
 #include <functional>
@@ -19,19 +19,20 @@
 class process_report
 {
 public:
-  // A line is written this often, and more often while the loop is later than that.
-  static constexpr std::chrono::seconds k_period{10};
-  static constexpr std::chrono::seconds k_late_period{1};
-  static constexpr std::chrono::milliseconds k_late{250};
+  // A line is written once per k_line_period, and once per k_late_line_period while the loop is
+  // late by more than k_late_threshold.
+  static constexpr std::chrono::seconds k_line_period{10};
+  static constexpr std::chrono::seconds k_late_line_period{1};
+  static constexpr std::chrono::milliseconds k_late_threshold{250};
 
-  // `processor_millis`: what the process may use, in thousandths of a core.
+  // `processor_millis`: the processor time the process may use, in thousandths of a core.
   process_report(const common::timekeeper& time, common::metrics& metrics, loop_monitor& loop,
                  std::function<common::duration()> cpu_time, std::uint32_t processor_millis);
 
   // Called at each tick of the loop. Returns whether a line was written.
   bool tick();
 
-  // What the latest line covers: the time since the one before.
+  // The time that the latest line covers: from the line before it up to itself.
   struct interval
   {
     common::duration length{0};
@@ -54,10 +55,10 @@
   std::function<common::duration()> m_cpu_time;
   std::uint32_t m_processor_millis;
   interval m_latest;
-  std::optional<common::time_point> m_logged;
-  std::optional<common::time_point> m_sampled;
-  common::duration m_cpu{0};        // at the latest sample
-  common::duration m_cpu_logged{0}; // at the latest line
+  std::optional<common::time_point> m_logged_at;
+  std::optional<common::time_point> m_sampled_at;
+  common::duration m_cpu{0};        // total at the latest sample
+  common::duration m_cpu_logged{0}; // total at the latest line
   common::metrics::recorded m_passes_logged;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/RetryAfter.h
+++ b/Source/Core/Node/RetryAfter.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// When a refused caller should come back.
+// Values of the Retry-After header for refused callers.
 
 #include <chrono>
 #include <cstdint>
@@ -11,12 +11,13 @@
 
 namespace yardhill::node
 {
-// Callers of the most urgent queues (priority 0) after a second, the others over the two seconds
-// after that, spread by the job's id: when the store is back, what somebody waits for is taken in
-// first and is not held up by everything that was refused meanwhile.
+// Callers of the most urgent queues (priority 0) retry after 1 s; all others are spread by the
+// job's id over the 2 s after that. So when the store is back, jobs for which somebody is waiting
+// are accepted first and are not held up by everything that was refused during the outage.
 std::chrono::seconds default_retry_after(std::uint32_t priority, const std::string& id);
-// Callers that an overloaded owner could not serve in time, `excess` too late: once so much of the
-// backlog is worked off, spread over as long again; the most urgent ones first here as well.
+// For callers whose job an overloaded owner would start `excess` too late: they retry once that
+// much of the backlog is worked off, spread over the same time again. Callers of the most urgent
+// queues retry first here as well.
 std::chrono::seconds retry_after_overload(std::uint32_t priority, const std::string& id,
                                           std::chrono::milliseconds excess);
 } // namespace yardhill::node
--- a/Source/Core/Node/StartupRequests.cpp
+++ b/Source/Core/Node/StartupRequests.cpp
@@ -9,28 +9,28 @@
 {
 namespace
 {
-// The configuration is one read away; the slowest store measured takes 240 ms for it.
-constexpr std::chrono::milliseconds k_patience{400};
+// The configuration takes one read of the store, which the slowest store measured does in 240 ms.
+constexpr std::chrono::milliseconds k_configuration_timeout{400};
 } // namespace
 
-startup_requests::startup_requests(common::timekeeper& time) : m_patience(time)
+startup_requests::startup_requests(common::timekeeper& time) : m_timeout(time)
 {
-  m_patience.start(k_patience, [this] { release(); });
+  m_timeout.start(k_configuration_timeout, [this] { release(); });
 }
 
-bool startup_requests::hold(std::function<void()> call)
+bool startup_requests::enqueue(std::function<void()> call)
 {
   if (m_released)
     return false;
-  m_held.push_back(std::move(call));
+  m_queued.push_back(std::move(call));
   return true;
 }
 
 void startup_requests::release()
 {
   m_released = true;
-  m_patience.cancel();
-  for (const auto& call : std::exchange(m_held, {}))
+  m_timeout.cancel();
+  for (const auto& call : std::exchange(m_queued, {}))
     call();
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/StartupRequests.h
+++ b/Source/Core/Node/StartupRequests.h
@@ -3,10 +3,11 @@
 
 #pragma once
 
-// Callers' requests that reach an instance before its first configuration does.
+// Callers' requests that reach an instance before its first configuration and the cell's layout do.
 //
-// They wait for it: it comes some 10 ms after the start, 0.25 s when the store is slow. Once it is
-// late nobody waits for it any more.
+// The requests wait for both: the configuration comes about 10 ms after the start, 0.25 s when the
+// store is slow. After a timeout the waiting requests are processed without them, and later
+// requests do not wait any more.
 
 #include <functional>
 #include <vector>
@@ -18,17 +19,17 @@
 class startup_requests
 {
 public:
-  // The instance has just started.
+  // Constructed at the start of the instance; the timeout runs from here.
   explicit startup_requests(common::timekeeper& time);
 
-  // Whether `call` is kept, to be made by release() or when the configuration is late; false once
-  // either has happened.
-  bool hold(std::function<void()> call);
+  // Queues `call` until release() or the timeout, whichever is first. Returns false, without
+  // queuing `call`, once either has happened.
+  bool enqueue(std::function<void()> call);
   void release();
 
 private:
-  common::one_shot_timer m_patience;
-  std::vector<std::function<void()>> m_held;
+  common::one_shot_timer m_timeout;
+  std::vector<std::function<void()>> m_queued;
   bool m_released = false;
 };
 } // namespace yardhill::node
--- a/Source/UnitTests/Node/AdmissionTest.cpp
+++ b/Source/UnitTests/Node/AdmissionTest.cpp
@@ -1,8 +1,9 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Jobs were accepted that could not begin before they were worth nothing. A refusal in their place
-// has to be true, to come at once, and never to meet a job that is kept.
+// Guards against accepting jobs that an overloaded owner cannot start before they have lost all
+// their value. Such a job is refused instead; the refusal has to be correct, has to come at once,
+// and must never be given for a job that is stored.
 
 #include <memory>
 #include <optional>
@@ -49,7 +50,7 @@
   return policy;
 }
 
-// 3 x (500 ms + 1.5 x 1 s) less 1 s.
+// k_late_factor (3) x the latency objective (500 ms + 1.5 x 1 s), less the 1 s that the job runs.
 constexpr milliseconds k_latest_start{5000};
 
 node::owner_row row_of(milliseconds wait)
@@ -62,7 +63,7 @@
   return row;
 }
 
-// A caller's gateway on an instance that watches another one's partition.
+// The callers' gateway of an instance that follows a partition owned by another instance.
 struct gateway_under_test : node::owner_under_test
 {
   static void ignore(const std::vector<adapter::row>&) {}
@@ -120,7 +121,7 @@
   adapter::row_version m_version = 100;
 };
 
-// A refusal of an overloaded partition, on the store's model.
+// Refuses jobs for an overloaded partition, against the store's model.
 struct refusing : node::accepting
 {
   accept_end refuse(std::deque<fate> fates)
@@ -138,7 +139,7 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionTest)
 
-BOOST_AUTO_TEST_CASE(a_job_is_accepted_as_long_as_it_can_still_be_worth_something)
+BOOST_AUTO_TEST_CASE(a_job_is_accepted_while_it_can_still_start_in_time)
 {
   const jobs::job_spec spec = spec_of(seconds{1});
   BOOST_TEST(!node::excess_wait(policy_of(2), spec, row_of(k_latest_start)).has_value());
@@ -148,7 +149,7 @@
   BOOST_TEST((*excess == milliseconds{700}));
 }
 
-BOOST_AUTO_TEST_CASE(another_priority_and_an_owner_that_is_not_overloaded_accept)
+BOOST_AUTO_TEST_CASE(other_priorities_and_owners_without_overload_accept)
 {
   const jobs::job_spec spec = spec_of(seconds{1});
   BOOST_TEST(!node::excess_wait(policy_of(0), spec, row_of(seconds{60})).has_value());
@@ -156,17 +157,17 @@
   BOOST_TEST(!node::excess_wait(policy_of(2), spec, {}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(jobs_that_last_or_are_due_later_are_accepted)
+BOOST_AUTO_TEST_CASE(long_running_and_repeating_jobs_are_accepted)
 {
-  jobs::job_spec lasting = spec_of(seconds{1});
-  lasting.steps.front().long_running = true;
-  BOOST_TEST(!node::excess_wait(policy_of(2), lasting, row_of(seconds{60})).has_value());
-  jobs::job_spec timed = spec_of(seconds{1});
-  timed.repeats = 1;
-  BOOST_TEST(!node::excess_wait(policy_of(2), timed, row_of(seconds{60})).has_value());
+  jobs::job_spec long_running_spec = spec_of(seconds{1});
+  long_running_spec.steps.front().long_running = true;
+  BOOST_TEST(!node::excess_wait(policy_of(2), long_running_spec, row_of(seconds{60})).has_value());
+  jobs::job_spec repeating_spec = spec_of(seconds{1});
+  repeating_spec.repeats = 1;
+  BOOST_TEST(!node::excess_wait(policy_of(2), repeating_spec, row_of(seconds{60})).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_owners_row_tells_the_waits)
+BOOST_AUTO_TEST_CASE(the_owners_row_reports_start_waits)
 {
   const node::owner_row row = row_of(milliseconds{4321});
   const auto read = node::owner_row_from(node::to_row_text(row));
@@ -175,23 +176,23 @@
   BOOST_TEST(node::to_row_text(node::owner_row{}).find("start_waits") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(callers_return_once_the_backlog_is_worked_off_urgent_ones_first)
+BOOST_AUTO_TEST_CASE(callers_retry_once_the_backlog_is_worked_off_urgent_ones_first)
 {
-  std::set<seconds> usual;
+  std::set<seconds> others;
   for (int i = 10; i < 100; ++i)
   {
     const std::string id = "00000000000000" + std::to_string(i);
     const seconds after = node::retry_after_overload(2, id, milliseconds{3500});
     BOOST_TEST((after >= seconds{4}));
     BOOST_TEST((node::retry_after_overload(0, id, milliseconds{3500}) < after));
-    usual.insert(after);
+    others.insert(after);
   }
-  BOOST_TEST(usual.size() > 3U); // not all at once
+  BOOST_TEST(others.size() > 3U); // not all at once
   BOOST_TEST((node::retry_after_overload(0, k_id, milliseconds{0}) >= seconds{1}));
   BOOST_TEST((node::retry_after_overload(2, k_id, std::chrono::hours{1}) < seconds{30}));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_job_that_would_begin_too_late_is_refused_at_once, gateway_under_test)
+BOOST_FIXTURE_TEST_CASE(a_job_that_would_start_too_late_is_refused_at_once, gateway_under_test)
 {
   owner_tells(row_of(k_latest_start + seconds{3}));
   BOOST_TEST(submit("usual") == 503U);
@@ -213,7 +214,7 @@
   BOOST_TEST(kept());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_job_that_is_kept_already_is_not_refused, gateway_under_test)
+BOOST_FIXTURE_TEST_CASE(a_job_that_is_stored_already_is_not_refused, gateway_under_test)
 {
   BOOST_TEST_REQUIRE(submit("usual") == 200U);
   owner_tells(row_of(k_latest_start + seconds{3}));
@@ -221,27 +222,27 @@
   BOOST_TEST(kept());
 }
 
-BOOST_FIXTURE_TEST_CASE(what_an_owner_told_long_ago_is_not_believed, gateway_under_test)
+BOOST_FIXTURE_TEST_CASE(an_outdated_owner_row_is_ignored, gateway_under_test)
 {
   owner_tells(row_of(k_latest_start + seconds{3}));
   time.run_until(time.now() + seconds{3});
   BOOST_TEST(submit("usual") == 200U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_refusal_is_written_before_it_is_told, refusing)
+BOOST_FIXTURE_TEST_CASE(a_refusal_is_written_before_it_is_answered, refusing)
 {
   BOOST_TEST((refuse({}) == accept_end::refused));
   BOOST_TEST((got->evidence == node::row_evidence::marked));
   BOOST_TEST(!kept());
 }
 
-BOOST_FIXTURE_TEST_CASE(without_the_store_nothing_is_known, refusing)
+BOOST_FIXTURE_TEST_CASE(without_the_store_the_outcome_is_unknown, refusing)
 {
   BOOST_TEST((refuse(std::deque<fate>(1000, fate::lost)) == accept_end::unknown));
 }
 
-// The answer to the first submission is lost, and with it the caller's knowledge that it is kept.
-BOOST_FIXTURE_TEST_CASE(a_job_whose_acceptance_was_not_heard_stays_accepted, refusing)
+// The reply to the first submission's write is lost, so nobody learns that the job is stored.
+BOOST_FIXTURE_TEST_CASE(a_job_whose_acceptance_was_lost_stays_accepted, refusing)
 {
   wire.fates = {fate::answer_lost};
   submit([](const node::accept_result&) {});
@@ -250,7 +251,7 @@
   BOOST_TEST(kept());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_submission_that_still_waits_in_the_store_comes_to_nothing, refusing)
+BOOST_FIXTURE_TEST_CASE(a_submission_still_queued_in_the_store_does_not_undo_a_refusal, refusing)
 {
   wire.fates = {fate::held, fate::lost};
   submit([](const node::accept_result&) {});
--- a/Source/UnitTests/Node/JobStateQueriesTest.cpp
+++ b/Source/UnitTests/Node/JobStateQueriesTest.cpp
@@ -27,17 +27,17 @@
   return job;
 }
 
-// The owner of the partition and another instance that follows it, with a desk each.
+// The owner of the partition and another instance that follows the partition.
 struct two_instances
 {
   node::owner_under_test own;
   std::vector<std::unique_ptr<node::partition_owner>> owning;
   std::vector<std::unique_ptr<node::partition_owner>> following;
-  bool cut = false;
+  bool disconnected = false;
   node::job_state_queries at_owner{own.time,
                                    [this](const std::string&, const common::peer_message& message)
                                    {
-                                     if (!cut)
+                                     if (!disconnected)
                                        asker.on_reply("instance-1",
                                                       std::get<common::state_reply>(message));
                                    },
@@ -46,9 +46,9 @@
                                 [this](const std::string& peer, const common::peer_message& message)
                                 {
                                   BOOST_TEST(peer == "instance-1");
-                                  if (!cut)
-                                    at_owner.on_question("instance-2",
-                                                         std::get<common::state_question>(message));
+                                  if (!disconnected)
+                                    at_owner.on_query("instance-2",
+                                                      std::get<common::state_question>(message));
                                 },
                                 following};
   bool answered = false;
@@ -68,10 +68,10 @@
   {
     answered = false;
     asker.ask(*following.front(), k_id,
-              [this](std::optional<jobs::job_state> told)
+              [this](std::optional<jobs::job_state> reply)
               {
                 answered = true;
-                state = told;
+                state = reply;
               });
   }
 };
@@ -79,7 +79,7 @@
 
 BOOST_AUTO_TEST_SUITE(JobStateQueriesTest)
 
-BOOST_FIXTURE_TEST_CASE(the_owner_tells_the_state_of_a_job_it_knows, two_instances)
+BOOST_FIXTURE_TEST_CASE(the_owner_returns_the_state_of_a_job_it_knows, two_instances)
 {
   owning.front()->job_kept_here(small_job(), 1000);
   ask();
@@ -88,7 +88,7 @@
   BOOST_TEST((*state == jobs::job_state::queued));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_final_state_is_told_once_it_is_written, two_instances)
+BOOST_FIXTURE_TEST_CASE(a_final_state_is_returned_once_it_is_written, two_instances)
 {
   owning.front()->job_kept_here(small_job(), 1000);
   owning.front()->job_cancelled_here(k_id);
@@ -108,9 +108,9 @@
   BOOST_TEST(!state.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_does_not_answer_is_not_waited_for, two_instances)
+BOOST_FIXTURE_TEST_CASE(a_query_to_an_owner_that_does_not_answer_times_out, two_instances)
 {
-  cut = true;
+  disconnected = true;
   ask();
   BOOST_TEST(!answered);
   own.time.run_until(own.time.now() + milliseconds{200});
--- a/Source/UnitTests/Node/KnownCapacitiesTest.cpp
+++ b/Source/UnitTests/Node/KnownCapacitiesTest.cpp
@@ -31,34 +31,36 @@
 
 BOOST_AUTO_TEST_SUITE(KnownCapacitiesTest)
 
-BOOST_AUTO_TEST_CASE(nothing_is_refused_before_a_worker_is_seen)
+BOOST_AUTO_TEST_CASE(nothing_is_refused_before_a_worker_is_known)
 {
-  const node::known_capacities seen;
-  BOOST_TEST(!seen.never_fits("docbuild", job(1000000, 1)).has_value());
+  const node::known_capacities capacities;
+  BOOST_TEST(!capacities.never_fits("docbuild", job(1000000, 1)).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_task_far_larger_than_every_worker_never_fits)
 {
-  node::known_capacities seen;
-  seen.note(worker(16000, 8000));
-  seen.note(worker(4000, 64000));
-  seen.note(worker(2000, 4000));
-  BOOST_TEST(!seen.never_fits("docbuild", job(16000, 8000)).has_value());
-  BOOST_TEST(!seen.never_fits("docbuild", job(30000, 16000)).has_value()); // a larger one may come
-  BOOST_TEST(!seen.never_fits("docbuild", job(8000, 128000)).has_value());
-  const auto why = seen.never_fits("docbuild", job(33000, 100));
-  BOOST_TEST_REQUIRE(why.has_value());
-  BOOST_TEST(why->find("step 1") == 0U);
-  BOOST_TEST(seen.never_fits("docbuild", job(9000, 128000)).has_value()); // of no one worker
-  BOOST_TEST(!seen.never_fits("other", job(33000, 100)).has_value());
+  node::known_capacities capacities;
+  capacities.add(worker(16000, 8000));
+  capacities.add(worker(4000, 64000));
+  capacities.add(worker(2000, 4000));
+  BOOST_TEST(!capacities.never_fits("docbuild", job(16000, 8000)).has_value());
+  BOOST_TEST(
+      !capacities.never_fits("docbuild", job(30000, 16000)).has_value()); // a larger one may come
+  BOOST_TEST(!capacities.never_fits("docbuild", job(8000, 128000)).has_value());
+  const auto reason = capacities.never_fits("docbuild", job(33000, 100));
+  BOOST_TEST_REQUIRE(reason.has_value());
+  BOOST_TEST(reason->find("step 1") == 0U);
+  BOOST_TEST(capacities.never_fits("docbuild", job(9000, 128000))
+                 .has_value()); // no single worker has both
+  BOOST_TEST(!capacities.never_fits("other", job(33000, 100)).has_value());
 }
 
-// Instances that own nothing know of workers by the owner's row alone.
-BOOST_AUTO_TEST_CASE(what_an_owner_has_seen_is_told_by_its_row)
+// Instances that own no partition learn about workers only from the owner's row.
+BOOST_AUTO_TEST_CASE(the_owners_row_reports_the_capacities_it_knows)
 {
   node::known_capacities owner;
-  owner.note(worker(8000, 16000));
-  owner.note(worker(16000, 32000));
+  owner.add(worker(8000, 16000));
+  owner.add(worker(16000, 32000));
   node::owner_row row;
   row.holder = "instance-1";
   row.life = "life-1";
--- a/Source/UnitTests/Node/LateRefusalTest.cpp
+++ b/Source/UnitTests/Node/LateRefusalTest.cpp
@@ -1,11 +1,11 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// A caller hears nothing of a job that it hands in, since its connection breaks or the instance
-// freezes, and the instance has not got the job's row written yet. The caller sends the job again;
-// another instance puts the mark of a refusal in the row's place and says that the job never runs.
-// When the first instance writes once more it meets that mark, and must not replace it: only a call
-// that came after a refusal may.
+// Guards against a job that runs after its refusal. A caller gets no answer to its submission,
+// since its connection breaks or the instance freezes before the job's row is written. The caller
+// submits the job again; another instance writes a refusal mark in place of the row and answers
+// that the job never runs. When the first instance repeats its write, it finds the mark and must
+// not replace it: only a submission that came after the refusal may.
 
 #include <boost/test/unit_test.hpp>
 
@@ -22,10 +22,11 @@
 {
 struct two_tries : accepting
 {
-  // An instance that takes jobs has heard the store: it has its configuration from there.
+  // An instance that accepts jobs has read from the store before, since its configuration comes
+  // from there; kept() does such a read.
   two_tries() { BOOST_TEST_REQUIRE(!kept()); }
 
-  void hand_in(std::optional<accept_result>& end)
+  void submit_job(std::optional<accept_result>& end)
   {
     submit([&end](const accept_result& result) { end = result; });
   }
@@ -42,9 +43,9 @@
 BOOST_FIXTURE_TEST_CASE(a_call_that_came_before_the_refusal_does_not_replace_its_mark, two_tries)
 {
   wire.fates = {fate::turned_away, fate::lost};
-  hand_in(first);
+  submit_job(first);
   run_for(milliseconds{20});
-  hand_in(second);
+  submit_job(second);
   run_for(milliseconds{20});
   BOOST_TEST_REQUIRE(second.has_value());
   BOOST_TEST_REQUIRE((second->end == accept_end::refused));
@@ -58,11 +59,11 @@
 BOOST_FIXTURE_TEST_CASE(a_call_that_came_after_the_refusal_replaces_its_mark, two_tries)
 {
   wire.fates = {fate::lost};
-  hand_in(second);
+  submit_job(second);
   run_for(milliseconds{20});
   BOOST_TEST_REQUIRE(second.has_value());
   BOOST_TEST_REQUIRE((second->end == accept_end::refused));
-  hand_in(first);
+  submit_job(first);
   run_for(milliseconds{20});
   BOOST_TEST_REQUIRE(first.has_value());
   BOOST_TEST((first->end == accept_end::accepted));
--- a/Source/UnitTests/Node/LoopMonitorTest.cpp
+++ b/Source/UnitTests/Node/LoopMonitorTest.cpp
@@ -21,7 +21,7 @@
   {
     const common::time_point due = now + milliseconds{25};
     now = due + late;
-    monitor.ticked(due, now);
+    monitor.record_tick(due, now);
   }
 
   void on_time(int ticks)
@@ -42,7 +42,7 @@
 
 BOOST_FIXTURE_TEST_CASE(a_tick_before_its_time_is_not_late, monitored_loop)
 {
-  monitor.ticked(now, now - milliseconds{5});
+  monitor.record_tick(now, now - milliseconds{5});
   BOOST_TEST((monitor.lateness() == duration{0}));
 }
 
@@ -69,7 +69,7 @@
   BOOST_TEST((monitor.lateness() == milliseconds{80}));
 }
 
-// After a suspension all that came before is old.
+// After a suspension all ticks before it are outside the window.
 BOOST_FIXTURE_TEST_CASE(one_tick_later_than_the_window_counts, monitored_loop)
 {
   tick(milliseconds{4000});
@@ -78,7 +78,7 @@
   BOOST_TEST((monitor.lateness() == milliseconds{1500}));
 }
 
-BOOST_FIXTURE_TEST_CASE(the_worst_since_the_previous_call_is_told_once, monitored_loop)
+BOOST_FIXTURE_TEST_CASE(the_worst_lateness_is_returned_once, monitored_loop)
 {
   tick(milliseconds{300});
   tick(milliseconds{80});
--- a/Source/UnitTests/Node/NodeSettingsTest.cpp
+++ b/Source/UnitTests/Node/NodeSettingsTest.cpp
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_SUITE(NodeSettingsTest)
 
-BOOST_AUTO_TEST_CASE(sound_settings_are_read)
+BOOST_AUTO_TEST_CASE(valid_settings_are_read)
 {
   common::problem_list problems;
   const auto settings = node::parse_node_settings(text_with("10.2.0.7:8169"), "file", problems);
--- a/Source/UnitTests/Node/PeerMonitorTest.cpp
+++ b/Source/UnitTests/Node/PeerMonitorTest.cpp
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_SUITE(PeerMonitorTest)
 
-BOOST_FIXTURE_TEST_CASE(nobody_is_asked_without_need, monitor_under_test)
+BOOST_FIXTURE_TEST_CASE(no_peer_is_queried_without_need, monitor_under_test)
 {
   peers.linked("peer", "other");
   pass(milliseconds{2000});
@@ -52,8 +52,7 @@
   BOOST_TEST(events == names{"+peer"}, boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(only_peers_that_live_and_reach_the_store_count_as_strong,
-                        monitor_under_test)
+BOOST_FIXTURE_TEST_CASE(only_live_peers_that_reach_the_store_count_as_strong, monitor_under_test)
 {
   BOOST_TEST(peers.strongest() == 0U);
   peers.linked("weak", "other");
@@ -78,13 +77,13 @@
   BOOST_TEST(events == (names{"+peer", "-peer", "+peer"}), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_stops_asking_is_silent, monitor_under_test)
+BOOST_FIXTURE_TEST_CASE(an_owner_that_stops_its_queries_is_silent, monitor_under_test)
 {
   peers.linked("owner", "other");
   for (int i = 0; i < 8; ++i)
   {
     peers.heard("owner");
-    peers.on_question("owner", {true}, {true});
+    peers.on_query("owner", {true}, {true});
     pass(milliseconds{250});
   }
   BOOST_TEST(events.size() == 1U);
@@ -92,76 +91,77 @@
   BOOST_TEST(events == (names{"+owner", "-owner"}), boost::test_tools::per_element());
 }
 
-// Incident LOST, SHORT: an owner that was late by 0.7 s was replaced, again and again.
+// Guards against replacing an owner that is merely busy: an owner whose event loop was late by 0.7
+// s was replaced again and again, and the judges reported LOST and SHORT.
 struct late_owner : monitor_under_test
 {
   late_owner() { peers.linked("owner", "other"); }
 
-  void ask(milliseconds told_late = milliseconds{0})
+  void send_query(milliseconds reported_lateness = milliseconds{0})
   {
     peers.heard("owner");
-    peers.on_question("owner", {true, static_cast<std::uint32_t>(told_late.count())}, {true});
+    peers.on_query("owner", {true, static_cast<std::uint32_t>(reported_lateness.count())}, {true});
   }
 
-  // Questions that come so far apart.
-  void ask_for(milliseconds span, milliseconds gap)
+  // For `span`, the owner sends a query every `gap`.
+  void send_queries(milliseconds span, milliseconds gap)
   {
     for (milliseconds passed{0}; passed < span; passed += gap)
     {
-      ask();
+      send_query();
       pass(gap);
     }
-    ask();
+    send_query();
   }
 
   bool silent() const { return events.back() == "-owner"; }
 };
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_asked_late_before_may_be_late_again, late_owner)
+BOOST_FIXTURE_TEST_CASE(an_owner_whose_queries_came_late_may_be_late_again, late_owner)
 {
-  ask_for(milliseconds{1800}, milliseconds{600});
+  send_queries(milliseconds{1800}, milliseconds{600});
   pass(milliseconds{1175});
   BOOST_TEST(!silent());
   pass(milliseconds{100});
   BOOST_TEST(silent());
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_says_that_it_is_late_is_waited_for, late_owner)
+BOOST_FIXTURE_TEST_CASE(an_owner_that_reports_its_lateness_gets_a_longer_timeout, late_owner)
 {
-  ask(milliseconds{500});
+  send_query(milliseconds{500});
   pass(milliseconds{975});
   BOOST_TEST(!silent());
   pass(milliseconds{100});
   BOOST_TEST(silent());
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_is_not_waited_for_beyond_a_bound, late_owner)
+BOOST_FIXTURE_TEST_CASE(the_timeout_of_a_late_owner_is_bounded, late_owner)
 {
-  ask_for(milliseconds{1500}, milliseconds{1500}); // silent in between
-  ask(milliseconds{60000});
+  send_queries(milliseconds{1500}, milliseconds{1500}); // silent in between
+  send_query(milliseconds{60000});
   pass(milliseconds{1975});
   BOOST_TEST(!silent());
   pass(milliseconds{100});
   BOOST_TEST(silent());
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_is_in_time_again_is_noticed_as_fast_as_before, late_owner)
+BOOST_FIXTURE_TEST_CASE(an_owner_that_is_in_time_again_gets_the_usual_timeout, late_owner)
 {
-  ask_for(milliseconds{1200}, milliseconds{600});
-  ask_for(milliseconds{20000}, milliseconds{250});
+  send_queries(milliseconds{1200}, milliseconds{600});
+  send_queries(milliseconds{20000}, milliseconds{250});
   pass(milliseconds{700});
   BOOST_TEST(silent());
 }
 
-BOOST_FIXTURE_TEST_CASE(an_outage_is_not_taken_for_lateness, late_owner)
+BOOST_FIXTURE_TEST_CASE(an_outage_does_not_count_as_lateness, late_owner)
 {
-  ask_for(milliseconds{3000}, milliseconds{3000});
+  send_queries(milliseconds{3000}, milliseconds{3000});
   BOOST_TEST(!silent());
   pass(milliseconds{700});
   BOOST_TEST(silent());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_busy_instance_says_how_late_it_is, monitor_under_test)
+BOOST_FIXTURE_TEST_CASE(a_busy_instance_reports_its_lateness, monitor_under_test)
 {
   peers.linked("peer", "other");
   pass(milliseconds{300}, true);
@@ -172,18 +172,19 @@
   BOOST_TEST(std::get<common::way_question>(sent.back()).late_ms == 400U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_has_given_back_says_so_and_may_be_quiet, monitor_under_test)
+BOOST_FIXTURE_TEST_CASE(an_owner_that_released_its_partition_says_so_and_may_fall_silent,
+                        monitor_under_test)
 {
   peers.linked("owner", "other");
   peers.heard("owner");
-  peers.on_question("owner", {true}, {true});
+  peers.on_query("owner", {true}, {true});
   pass(milliseconds{250});
   peers.heard("owner");
-  peers.on_question("owner", {false}, {true});
+  peers.on_query("owner", {false}, {true});
   pass(milliseconds{3000});
   BOOST_TEST(events.size() == 1U);
 
-  // And this instance, once it owns nothing any more, tells the others in the same way.
+  // This instance tells its peers in the same way once it owns nothing any more.
   sent.clear();
   pass(milliseconds{25}, true);
   pass(milliseconds{25}, false);
@@ -191,9 +192,9 @@
   BOOST_TEST(!std::get<common::way_question>(sent.back()).often);
 }
 
-// Found by reading: two instances that own nothing have little to say to each other, so after a
-// short cut each took the other for silent until the next trouble.
-BOOST_FIXTURE_TEST_CASE(silent_peers_are_asked_until_they_are_heard, monitor_under_test)
+// Two instances that own nothing send each other few messages. Without further queries, each would
+// regard the other as silent after a short interruption of the network until the next fault.
+BOOST_FIXTURE_TEST_CASE(silent_peers_are_queried_until_they_are_heard, monitor_under_test)
 {
   peers.linked("peer", "other");
   pass(milliseconds{800}, false, true);
@@ -208,7 +209,7 @@
   BOOST_TEST(sent.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(own_pauses_are_not_held_against_peers, monitor_under_test)
+BOOST_FIXTURE_TEST_CASE(a_stall_of_this_instance_does_not_make_peers_silent, monitor_under_test)
 {
   peers.linked("peer", "other");
   pass(milliseconds{300}, true);
@@ -217,7 +218,8 @@
   BOOST_TEST(events.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(only_peers_of_other_zones_tell_that_a_zone_is_cut_off, monitor_under_test)
+BOOST_FIXTURE_TEST_CASE(only_silent_peers_of_other_zones_show_that_those_are_unreachable,
+                        monitor_under_test)
 {
   peers.linked("near", "zone");
   pass(milliseconds{800}, false, true);
@@ -232,8 +234,9 @@
   BOOST_TEST(!peers.cut_off());
 }
 
-// Pattern: the store turns a third of 147 instances away for some seconds. Each asked all others
-// four times a second then: 30,000 questions a second in the cell, and as many answers.
+// Guards against a load that grows with the square of the instances: the store rejects a third of
+// 147 instances for some seconds. When each of them queried all others four times a second, the
+// cell had 30,000 queries a second, and as many replies.
 struct many_peers : monitor_under_test
 {
   many_peers()
@@ -246,8 +249,8 @@
     }
   }
 
-  // A second in which every question is answered at once.
-  std::size_t questions_of_a_second(bool owner, bool in_doubt)
+  // Counts the queries sent in one second in which every query is answered at once.
+  std::size_t queries_in_a_second(bool owner, bool in_doubt)
   {
     sent.clear();
     for (int i = 0; i < 40; ++i)
@@ -264,15 +267,15 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(an_instance_in_doubt_asks_a_few_of_many_peers, many_peers)
+BOOST_FIXTURE_TEST_CASE(an_instance_in_doubt_queries_a_few_of_many_peers, many_peers)
 {
-  BOOST_TEST(questions_of_a_second(false, true) <= 40U);
+  BOOST_TEST(queries_in_a_second(false, true) <= 40U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_asks_weaker_peers_in_turn, many_peers)
+BOOST_FIXTURE_TEST_CASE(an_owner_queries_weaker_peers_in_turn, many_peers)
 {
-  // 146 peers as strong as itself are all asked four times.
-  BOOST_TEST(questions_of_a_second(true, false) == 4U * 146U);
+  // All 146 peers, none weaker than this instance, are queried four times.
+  BOOST_TEST(queries_in_a_second(true, false) == 4U * 146U);
   node::peer_monitor strong{time,
                             {"self", "zone", 500},
                             [this](const std::string&, const common::peer_message& message)
@@ -299,9 +302,9 @@
   BOOST_TEST(often == 4 * 15);
 }
 
-BOOST_FIXTURE_TEST_CASE(instances_in_doubt_go_different_ways, many_peers)
+BOOST_FIXTURE_TEST_CASE(instances_in_doubt_relay_through_different_peers, many_peers)
 {
-  std::set<std::string> ways;
+  std::set<std::string> relays;
   for (int i = 0; i < 20; ++i)
   {
     node::peer_monitor other{time,
@@ -310,25 +313,26 @@
                              {[](const std::string&) {}, [](const std::string&) {}}};
     for (int each = 0; each < 146; ++each)
       other.linked("instance-" + std::to_string(each), "zone");
-    ways.insert(*other.relay_peer());
+    relays.insert(*other.relay_peer());
   }
-  BOOST_TEST(ways.size() >= 15U);
+  BOOST_TEST(relays.size() >= 15U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_is_the_last_way_to_the_store, monitor_under_test)
+BOOST_FIXTURE_TEST_CASE(an_owner_is_the_last_choice_as_a_relay, monitor_under_test)
 {
   peers.linked("a", "other");
   peers.linked("b", "other");
   for (const char* owner : {"a", "b"})
   {
-    peers.on_question("a", {false}, {true});
-    peers.on_question("b", {false}, {true});
-    peers.on_question(owner, {true}, {true});
+    peers.on_query("a", {false}, {true});
+    peers.on_query("b", {false}, {true});
+    peers.on_query(owner, {true}, {true});
     BOOST_TEST(*peers.relay_peer() != owner);
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(a_cut_is_noticed_by_a_few_silent_ones_of_many, many_peers)
+BOOST_FIXTURE_TEST_CASE(a_few_silent_peers_of_many_show_that_other_zones_are_unreachable,
+                        many_peers)
 {
   pass(milliseconds{1000}, false, true);
   BOOST_TEST(peers.cut_off());
--- a/Source/UnitTests/Node/ProcessReportTest.cpp
+++ b/Source/UnitTests/Node/ProcessReportTest.cpp
@@ -29,7 +29,7 @@
     const common::time_point due = time.now() + milliseconds{25};
     time.run_until(due + late);
     cpu += common::duration{milliseconds{25} + late} / 10;
-    loop.ticked(due, time.now());
+    loop.record_tick(due, time.now());
     lines += report.tick() ? 1 : 0;
   }
 
@@ -44,7 +44,8 @@
 
 BOOST_AUTO_TEST_SUITE(ProcessReportTest)
 
-BOOST_FIXTURE_TEST_CASE(a_process_that_is_not_late_writes_a_line_in_ten_seconds, reporting_process)
+BOOST_FIXTURE_TEST_CASE(a_process_that_is_not_late_writes_a_line_every_ten_seconds,
+                        reporting_process)
 {
   tick();
   BOOST_TEST(lines == 1U);
@@ -57,8 +58,7 @@
   BOOST_TEST((report.latest().worst_lateness == common::duration{0}));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_late_loop_is_told_at_once_and_no_more_than_once_a_second,
-                        reporting_process)
+BOOST_FIXTURE_TEST_CASE(a_late_loop_is_logged_at_once_but_at_most_once_a_second, reporting_process)
 {
   tick();
   pass(seconds{2});
@@ -75,7 +75,7 @@
   BOOST_TEST((report.latest().worst_lateness == milliseconds{400}));
 }
 
-BOOST_FIXTURE_TEST_CASE(the_processor_time_is_counted_once_a_second, reporting_process)
+BOOST_FIXTURE_TEST_CASE(the_processor_time_is_sampled_once_a_second, reporting_process)
 {
   tick();
   pass(seconds{3});
@@ -83,7 +83,7 @@
   BOOST_TEST(metrics.value(counter::process_cpu_ms) <= 310U);
 }
 
-BOOST_FIXTURE_TEST_CASE(passes_are_told_since_the_line_before, reporting_process)
+BOOST_FIXTURE_TEST_CASE(passes_are_counted_since_the_previous_line, reporting_process)
 {
   metrics.record(common::timing::decision, milliseconds{2});
   tick();
--- a/Source/UnitTests/Node/RefusalTest.cpp
+++ b/Source/UnitTests/Node/RefusalTest.cpp
@@ -1,12 +1,13 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// A job ran although its caller had been told that it never would (periyar, instances killed one
-// after the other while the store was slow). Its first submission was kept, but the instance that
-// kept it was killed before it answered. The caller sent the job again, to an instance that had
-// started 0.1 s before and refused everything with 503 as long as it had no configuration. The
-// cause: a refusal is a promise about the job, and the instance knew of that one call only. The
-// proof: the cases below, each with a job that is kept, or may still be, when it is sent again.
+// Guards against a job that runs although its caller was told that it never would. This happened
+// while instances were killed one after the other and the store was slow: the first submission was
+// stored, but the instance that stored it was killed before it answered. The caller submitted the
+// job again, to an instance that had started 0.1 s before and refused every request with 503 as
+// long as it had no configuration. A refusal with 503 promises that the job never runs, but that
+// instance knew of one submission only. In each case below the job is stored, or may still be, when
+// it is submitted again.
 
 #include <algorithm>
 #include <optional>
@@ -34,10 +35,10 @@
 
 constexpr std::uint64_t k_seed = 1;
 constexpr unsigned k_unavailable = 503;
-constexpr unsigned k_unknown = 504;
+constexpr unsigned k_outcome_unknown = 504;
 const std::string k_id = "00000000000000aa";
 
-// A job that waits for a worker of its kind as long as the test lasts.
+// A job that stays queued for the whole test, since no worker has the label that it requires.
 std::string submission()
 {
   const json step{{wire::k_count, 1},
@@ -48,7 +49,7 @@
   return json{{wire::k_payload, "payload"}, {wire::k_steps, json::array({step})}}.dump();
 }
 
-// A cell whose instances are at work, and one caller that asks the instance it names.
+// A running cell and one caller, which sends each request to the instance of the given index.
 struct refusing
 {
   explored_cell cell{k_seed};
@@ -60,9 +61,9 @@
   explored_instance& instance(std::size_t which) { return cell.instances()[which]; }
   void run_for(milliseconds span) { cell.time().run_until(cell.time().now() + span); }
 
-  void submit(std::size_t which) { ask(which, http::method::post, submission()); }
+  void submit(std::size_t which) { send_request(which, http::method::post, submission()); }
 
-  void ask(std::size_t which, http::method verb, const std::string& body)
+  void send_request(std::size_t which, http::method verb, const std::string& body)
   {
     got.reset();
     instance(which).core->handle({verb, model::k_host, model::k_plain_prefix + k_id, body, "3000"},
@@ -73,8 +74,8 @@
                                  });
   }
 
-  // Kept by an instance that is killed before it hears so.
-  void keep_unheard(std::size_t which)
+  // The job is stored by an instance that is killed before the store's reply reaches it.
+  void store_without_reply(std::size_t which)
   {
     cell.network().troubles.answers_lost = 1.0;
     submit(which);
@@ -82,18 +83,18 @@
     BOOST_TEST_REQUIRE(!got.has_value());
     cell.end_instance(instance(which));
     cell.network().troubles.answers_lost = 0.0;
-    ask(which + 1, http::method::get, {});
+    send_request(which + 1, http::method::get, {});
     run_for(milliseconds{50});
     BOOST_TEST_REQUIRE(got.has_value());
     BOOST_TEST_REQUIRE(got->status == 200U);
   }
 
-  void cut(std::size_t which, const std::string& from)
+  void disconnect(std::size_t which, const std::string& from)
   {
     cell.network().troubles.cuts.insert({instance(which).name, from});
   }
 
-  // Other writes wait in the part where the job's row lies.
+  // Queues other writes in the part of the table that has the job's row.
   void fill_part(int writes)
   {
     for (int i = 0; i < writes; ++i)
@@ -110,7 +111,7 @@
     }
   }
 
-  bool says_when_to_come_back() const
+  bool has_retry_after() const
   {
     return std::any_of(got->headers.begin(), got->headers.end(),
                        [](const auto& each) { return each.first == "Retry-After"; });
@@ -120,9 +121,9 @@
 
 BOOST_AUTO_TEST_SUITE(RefusalTest)
 
-BOOST_FIXTURE_TEST_CASE(an_instance_that_has_just_started_does_not_refuse_what_is_kept, refusing)
+BOOST_FIXTURE_TEST_CASE(an_instance_that_has_just_started_does_not_refuse_a_stored_job, refusing)
 {
-  keep_unheard(0);
+  store_without_reply(0);
   cell.start_instance(instance(0));
   submit(0);
   run_for(seconds{1});
@@ -130,40 +131,41 @@
   BOOST_TEST(got->status == 200U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_instance_without_a_configuration_says_that_it_does_not_know, refusing)
+BOOST_FIXTURE_TEST_CASE(an_instance_without_a_configuration_answers_that_the_outcome_is_unknown,
+                        refusing)
 {
-  keep_unheard(0);
-  cut(0, "store");
+  store_without_reply(0);
+  disconnect(0, "store");
   cell.start_instance(instance(0));
   const common::time_point begin = cell.time().now();
   submit(0);
   run_for(seconds{1});
   BOOST_TEST_REQUIRE(got.has_value());
-  BOOST_TEST(got->status == k_unknown);
-  BOOST_TEST(says_when_to_come_back());
+  BOOST_TEST(got->status == k_outcome_unknown);
+  BOOST_TEST(has_retry_after());
   BOOST_TEST((answered_at - begin <= milliseconds{500}));
-  // Once the configuration is late, nobody is kept waiting for it.
+  // After the timeout for the configuration, no request waits for it.
   submit(0);
   BOOST_TEST_REQUIRE(got.has_value());
-  BOOST_TEST(got->status == k_unknown);
+  BOOST_TEST(got->status == k_outcome_unknown);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_isolated_instance_does_not_refuse_what_is_kept, refusing)
+BOOST_FIXTURE_TEST_CASE(an_isolated_instance_does_not_refuse_a_stored_job, refusing)
 {
-  keep_unheard(0);
+  store_without_reply(0);
   for (const char* const other : {"store", "instance-0", "instance-2", "instance-3"})
-    cut(1, other);
+    disconnect(1, other);
   run_for(seconds{3});
   submit(1);
   run_for(seconds{3});
   BOOST_TEST_REQUIRE(got.has_value());
-  BOOST_TEST(got->status == k_unknown);
-  BOOST_TEST(says_when_to_come_back());
+  BOOST_TEST(got->status == k_outcome_unknown);
+  BOOST_TEST(has_retry_after());
 }
 
-// The first submission's write waits in a slow store for its turn, and the second one's is turned
-// away; the row is there a second later.
-BOOST_FIXTURE_TEST_CASE(a_submission_that_waits_in_the_store_is_not_refused, refusing)
+// The write of the first submission is queued in a slow store, and the write of the second is
+// rejected; the job's row appears a second later.
+BOOST_FIXTURE_TEST_CASE(a_submission_queued_in_the_store_is_not_refused, refusing)
 {
   cell.store().set_pace(milliseconds{250});
   fill_part(4);
@@ -180,7 +182,7 @@
   BOOST_TEST(got->status == 200U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_store_that_turns_writes_away_says_nothing_of_what_is_kept, accepting)
+BOOST_FIXTURE_TEST_CASE(rejected_writes_do_not_show_whether_the_job_is_stored, accepting)
 {
   accept({});
   BOOST_TEST_REQUIRE(kept());
@@ -188,14 +190,14 @@
   BOOST_TEST((got->end == node::accept_end::unknown));
 }
 
-// The mark of an earlier refusal may be about to be replaced by a write that is still on its way.
-BOOST_FIXTURE_TEST_CASE(a_mark_that_another_call_wrote_settles_nothing, accepting)
+// The mark of an earlier refusal may be about to be replaced by a write that is still in flight.
+BOOST_FIXTURE_TEST_CASE(a_refusal_mark_of_another_call_does_not_settle_the_outcome, accepting)
 {
-  accept({fate::lost}); // refused: the mark is there
+  accept({fate::lost}); // refused: the refusal mark is written
   BOOST_TEST_REQUIRE((got->end == node::accept_end::refused));
   std::deque<fate> fates(60, fate::turned_away);
   fates.push_front(fate::held);
-  fates.push_front(fate::answered); // it finds the mark, and its next write is on its way for long
+  fates.push_front(fate::answered); // it finds the mark; its next write is in flight for long
   accept(std::move(fates));
   BOOST_TEST_REQUIRE(wire.held.size() == 1U);
   accept({fate::lost});
@@ -204,9 +206,9 @@
   BOOST_TEST((!refused || !kept()));
 }
 
-// The caller's connection broke, and it sent the job again while the first call went on: that one
-// must not undo the refusal that the second call has been told.
-BOOST_FIXTURE_TEST_CASE(an_earlier_call_that_is_still_under_way_does_not_undo_a_refusal, accepting)
+// The caller's connection broke, and the caller submitted the job again while the first call was
+// still being processed. The first call must not undo the refusal that answered the second.
+BOOST_FIXTURE_TEST_CASE(an_earlier_call_still_in_flight_does_not_undo_a_refusal, accepting)
 {
   wire.fates = {fate::turned_away, fate::lost};
   std::optional<node::accept_result> first;
@@ -220,8 +222,8 @@
   BOOST_TEST(!kept());
 }
 
-// "No such job" is a promise as well.
-BOOST_FIXTURE_TEST_CASE(a_row_that_cannot_be_read_is_not_a_missing_job, accepting)
+// The answer "no such job" promises that the job never runs, just like a refusal.
+BOOST_FIXTURE_TEST_CASE(an_unreadable_row_is_not_a_missing_job, accepting)
 {
   wire.store.put(node::job_key(k_id), "{");
   std::optional<node::found_job> found;
@@ -231,7 +233,7 @@
   BOOST_TEST(!found->answered);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_job_that_was_refused_may_be_handed_in_again, accepting)
+BOOST_FIXTURE_TEST_CASE(a_refused_job_may_be_submitted_again, accepting)
 {
   accept({fate::lost});
   BOOST_TEST_REQUIRE((got->end == node::accept_end::refused));
@@ -240,9 +242,10 @@
   BOOST_TEST(kept());
 }
 
-// A submission that came late in the grace of a planned stop was tried until its caller's patience
-// ended, which lay behind the end of the process: its connection was cut without an answer.
-BOOST_FIXTURE_TEST_CASE(an_instance_that_stops_answers_before_its_process_ends, refusing)
+// Guards against closing a caller's connection without an answer: a submission that came late in
+// the grace period of a planned stop was retried until its caller's timeout, which lay after the
+// end of the process.
+BOOST_FIXTURE_TEST_CASE(a_stopping_instance_answers_before_its_process_ends, refusing)
 {
   cell.network().troubles.answers_lost = 1.0;
   instance(0).core->begin_stop(milliseconds{1000});
@@ -250,7 +253,7 @@
   submit(0);
   run_for(milliseconds{700});
   BOOST_TEST_REQUIRE(got.has_value());
-  BOOST_TEST(got->status == 504U); // it may be kept
+  BOOST_TEST(got->status == 504U); // the job may be stored
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Node/RetryAfterTest.cpp
+++ b/Source/UnitTests/Node/RetryAfterTest.cpp
@@ -13,7 +13,7 @@
 
 BOOST_AUTO_TEST_SUITE(RetryAfterTest)
 
-BOOST_AUTO_TEST_CASE(urgent_callers_return_before_all_others)
+BOOST_AUTO_TEST_CASE(urgent_callers_retry_before_all_others)
 {
   std::set<seconds> others;
   for (int i = 0; i < 100; ++i)
@@ -27,7 +27,7 @@
   BOOST_TEST(others.size() == 2U); // not all at once
 }
 
-BOOST_AUTO_TEST_CASE(a_job_is_told_the_same_time_by_every_instance)
+BOOST_AUTO_TEST_CASE(every_instance_gives_a_job_the_same_time)
 {
   BOOST_TEST(
       (default_retry_after(2, "0123456789abcdef") == default_retry_after(2, "0123456789abcdef")));
