--- a/Source/Core/Node/CallerGateway.cpp
+++ b/Source/Core/Node/CallerGateway.cpp
@@ -191,7 +191,8 @@
 // A job has two candidate partitions. Its home is the first one while that has more free processor
 // capacity than its waiting tasks need, else the less loaded of the two: the reported loads are up
 // to a second old, and instances that all chose the cell's least loaded partition would overload
-// it. If neither candidate can run the job, its home is any partition that can.
+// it. If neither candidate can run the job, its home is any partition that can. A job that may be
+// shared belongs to every partition if all have workers with the labels it requires.
 std::string caller_gateway::choose_home(const std::string& job, const jobs::job_spec& spec) const
 {
   const auto load_of = [](const partition_owner& each)
--- a/Source/Core/Node/CallerGateway.h
+++ b/Source/Core/Node/CallerGateway.h
@@ -58,8 +58,8 @@
     std::string body;
     std::chrono::milliseconds timeout{0}; // how long the caller waits
     common::time_point received{};
-    adapter::row_version known_version =
-        0; // a version of the store that is no newer than the request's arrival
+    // A version of the store that is no newer than the request's arrival.
+    adapter::row_version known_version = 0;
     http::responder respond;
   };
 
@@ -129,7 +129,7 @@
   common::time_point m_started; // of this instance
   startup_requests m_startup_requests;
   std::unordered_map<std::string, std::string> m_homes; // of jobs that were submitted or read here
-  std::optional<common::time_point>
-      m_stop_deadline; // when this process ends, once its stop is planned
+  // When this process ends, once its stop is planned.
+  std::optional<common::time_point> m_stop_deadline;
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/ConfigurationWatch.h
+++ b/Source/Core/Node/ConfigurationWatch.h
@@ -6,10 +6,10 @@
 // Decides whether this instance may still serve callers under the configuration that it has.
 //
 // A configuration version that was confirmed is in force on every instance within a limit. An
-// instance that has fallen behind, because its link is saturated or its path to the store
-// is broken, cannot know what a newer version says, so the instance refuses requests: to answer
-// that a route is unknown or that a job is gone could be wrong, while a refusal only sends the
-// caller to another instance.
+// instance that has fallen behind, because its link is saturated or its path to the store is
+// broken, cannot know what a newer version says, so the instance refuses requests: to answer that a
+// route is unknown or that a job is gone could be wrong, while a refusal only sends the caller to
+// another instance.
 
 #include <cstdint>
 #include <optional>
@@ -47,9 +47,9 @@
   common::duration m_limit;
   std::uint64_t m_peer_version = 0; // the newest that a peer has reported
   common::time_point m_peer_version_since{};
-  common::time_point
-      m_confirmed_at{}; // when a peer last reported the version in force here as the newest
-  common::time_point
-      m_peer_reached_store_at{}; // when a peer last reported that the store answers it
+  // When a peer last reported the version in force here as the newest.
+  common::time_point m_confirmed_at{};
+  // When a peer last reported that the store answers it.
+  common::time_point m_peer_reached_store_at{};
 };
 } // namespace yardhill::node
--- a/Source/Core/Node/JobIntake.cpp
+++ b/Source/Core/Node/JobIntake.cpp
@@ -92,7 +92,9 @@
 void job_intake::reload()
 {
   m_complete_until = known_until();
-  m_feed.reset(); // a live feed could expire again and start a second reload beside this one
+  // Otherwise ask_again() could make the feed send a request, which could start a second reload
+  // beside this one.
+  m_feed.reset();
   m_loader = std::make_shared<partition_loader>(m_time, m_feed_store, m_clock, m_partition,
                                                 [this](const loaded_partition& loaded)
                                                 {
--- a/Source/Core/Node/JobIntake.h
+++ b/Source/Core/Node/JobIntake.h
@@ -64,8 +64,8 @@
   std::function<void()> m_on_change;
   scheduling::job_scheduler* m_scheduler = nullptr; // null before begin()
   adapter::row_version m_read_version = 0; // all jobs up to this version are known or have ended
-  common::time_point
-      m_complete_until{}; // known_until() as far as full reads, without the feed, establish it
+  // known_until() as far as full reads alone establish it, without the feed.
+  common::time_point m_complete_until{};
   std::unique_ptr<table_feed> m_feed;
   std::shared_ptr<partition_loader> m_loader;
   std::set<std::string> m_cancelled_early;         // ids of cancelled jobs that are not known here
--- a/Source/Core/Node/NodeCore.cpp
+++ b/Source/Core/Node/NodeCore.cpp
@@ -47,8 +47,8 @@
       m_feed_store(m_direct_path, environment.metrics, &m_store_clock),
       m_workers(environment.time, environment.workers, environment.metrics),
       m_advice_client(environment.workers, settings.advice.value_or(common::endpoint{})),
-      m_advice_desk(environment.time, m_advice_client),
-      m_advice(environment.time, m_advice_desk, environment.send_to_peer),
+      m_advice_queue(environment.time, m_advice_client),
+      m_advice(environment.time, m_advice_queue, environment.send_to_peer),
       m_operator_feed(environment.time, m_feed_store, adapter::wire::k_operator_table, {""},
                       {[this](const auto& rows) { on_operator_rows(rows); },
                        [this](const auto& rows) { on_operator_rows(rows); },
@@ -325,7 +325,7 @@
 }
 
 // Logged once per worker, since an invalid entry may be renewed again and again.
-void node_core::invalidate_worker_entry(const std::string& id, const common::step_error& why)
+void node_core::invalidate_worker_entry(const std::string& id, const common::step_error& error)
 {
   m_worker_entries.erase(id);
   if (!m_invalid_workers.insert(id).second)
@@ -334,7 +334,7 @@
   common::log_process("worker_entry_invalid",
                       {{"table", adapter::wire::k_workers_table},
                        {"key", id.substr(0, k_max_logged_length)},
-                       {"error", common::to_text(why).substr(0, k_max_logged_length)}});
+                       {"error", common::to_text(error).substr(0, k_max_logged_length)}});
   for (const auto& each : m_partitions)
     each->worker_entry_invalid(common::worker_id(id));
 }
--- a/Source/Core/Node/NodeCore.h
+++ b/Source/Core/Node/NodeCore.h
@@ -97,7 +97,7 @@
   void report_strength();
   void on_worker_row(const adapter::row& row);
   // The worker's entry is invalid: the worker gets no new tasks, and its running tasks go on.
-  void invalidate_worker_entry(const std::string& id, const common::step_error& why);
+  void invalidate_worker_entry(const std::string& id, const common::step_error& error);
   void remove_worker(const std::string& id);
   // Follows the workers' entries only while this instance owns a partition, is taking one over or
   // counts the workers to decide the cell's layout: all workers renew their entries periodically,
@@ -123,7 +123,7 @@
   adapter::store_client m_feed_store; // uses the direct path only
   adapter::worker_client m_workers;
   adapter::advice_client m_advice_client;
-  advice_queue m_advice_desk;
+  advice_queue m_advice_queue;
   advice_pool m_advice;
   jobs::queue_table m_queues;
   table_feed m_operator_feed;
@@ -138,8 +138,8 @@
   caller_gateway m_gateway;
   table_feed m_worker_feed;
   table_feed m_owner_feed;
-  common::time_point
-      m_feeds_restarted_at{}; // when feed requests were last repeated after an outage
+  // When the feeds' requests were last repeated after an outage of the store.
+  common::time_point m_feeds_restarted_at{};
   common::time_point m_configuration_fetched_at{}; // when it was last requested through a peer
   common::time_point m_layout_fetched_at{};        // when it was last requested through a peer
   bool m_owners_reread_due = false; // the feed has to read the owner rows of all partitions
--- a/Source/Core/Node/NodeSettings.h
+++ b/Source/Core/Node/NodeSettings.h
@@ -29,11 +29,12 @@
   common::duration stop_grace = std::chrono::seconds{6};
   common::duration lease_limit = std::chrono::seconds{10};
   common::duration status_retention = std::chrono::seconds{120};
-  common::duration configuration_limit =
-      std::chrono::seconds{3}; // within which a confirmed version is in force
-  std::size_t partitions = 0;  // of a new cell; 0: derived from the cell's size
-  std::uint32_t processor_millis =
-      1000; // processor time this instance may use, in thousandths of a core
+  // The time within which a confirmed configuration is in force.
+  common::duration configuration_limit = std::chrono::seconds{3};
+  // The number of partitions of a new cell; 0: derived from the cell's size.
+  std::size_t partitions = 0;
+  // Processor time that this instance may use, in thousandths of a core.
+  std::uint32_t processor_millis = 1000;
 };
 
 // Checks the whole text and adds every mistake to `problems`. Returns none if there is any.
--- a/Source/Core/Node/PeerLinks.cpp
+++ b/Source/Core/Node/PeerLinks.cpp
@@ -76,13 +76,13 @@
   {
     if (row.removed || row.at.key == m_name)
       continue;
-    const auto own_address = address_from(row.value);
-    if (own_address)
-      m_mesh.dial(*own_address);
+    const auto peer_address = address_from(row.value);
+    if (peer_address)
+      m_mesh.dial(*peer_address);
     else
       common::log_process("row_damaged", {{"table", k_instances_table},
                                           {"key", row.at.key},
-                                          {"error", common::to_text(own_address.error())}});
+                                          {"error", common::to_text(peer_address.error())}});
   }
 }
 
--- a/Source/Core/Node/PeerMonitor.h
+++ b/Source/Core/Node/PeerMonitor.h
@@ -95,9 +95,9 @@
     std::uint32_t processor_millis = 0;
     common::time_point heard_at;
     common::time_point avoid_until{};
-    std::optional<common::time_point>
-        unanswered_since;             // when the oldest query without a reply was sent
-    message_gaps gaps{k_max_timeout}; // between messages while it owns a partition
+    // When the oldest query without a reply was sent.
+    std::optional<common::time_point> unanswered_since;
+    message_gaps gaps{k_max_timeout};               // between messages while it owns a partition
     std::chrono::milliseconds reported_lateness{0}; // of its event loop, as it reports itself
   };
 
