--- a/Source/Core/Node/PeerMonitor.cpp
+++ b/Source/Core/Node/PeerMonitor.cpp
@@ -73,7 +73,7 @@
   if (found == m_peers.end())
     return;
   const common::time_point now = m_time.now();
-  if (found->second.asks_often)
+  if (found->second.queries_often)
     found->second.gaps.record(now - found->second.heard_at, now);
   found->second.heard_at = now;
   if (!std::exchange(found->second.silent, false))
@@ -89,7 +89,7 @@
   const auto found = m_peers.find(name);
   if (found != m_peers.end())
   {
-    found->second.asks_often = query.often;
+    found->second.queries_often = query.often;
     found->second.reported_lateness = std::chrono::milliseconds(query.late_ms);
   }
   m_send(name, own);
@@ -101,7 +101,7 @@
   if (found == m_peers.end())
     return;
   found->second.unanswered_since.reset();
-  found->second.has_way = report.has_way;
+  found->second.reaches_store = report.has_way;
 }
 
 void peer_monitor::on_strength(const std::string& name, const common::strength_report& report)
@@ -130,7 +130,7 @@
 {
   if (each.unanswered_since && now - *each.unanswered_since > timeout(each, k_answer_timeout, now))
     return true;
-  return each.asks_often && now - each.heard_at > timeout(each, k_owner_query_timeout, now);
+  return each.queries_often && now - each.heard_at > timeout(each, k_owner_query_timeout, now);
 }
 
 void peer_monitor::restart_timeouts(common::time_point now)
@@ -251,10 +251,10 @@
   const common::time_point now = m_time.now();
   const std::pair<const std::string, peer>* best = nullptr;
   const auto key = [](const auto& each)
-  { return std::pair(each.second.asks_often, each.second.rank); };
+  { return std::pair(each.second.queries_often, each.second.rank); };
   for (const auto& each : m_peers)
   {
-    if (each.second.silent || !each.second.has_way || each.second.avoid_until > now)
+    if (each.second.silent || !each.second.reaches_store || each.second.avoid_until > now)
       continue;
     if (best == nullptr || key(each) < key(*best))
       best = &each;
@@ -267,7 +267,7 @@
   std::uint32_t limit = 0;
   for (const auto& [name, each] : m_peers)
   {
-    if (!each.silent && each.has_way)
+    if (!each.silent && each.reaches_store)
       limit = std::max(limit, each.processor_millis);
   }
   return limit;
--- a/Source/Core/Node/PeerMonitor.h
+++ b/Source/Core/Node/PeerMonitor.h
@@ -71,8 +71,8 @@
   std::optional<std::string> relay_peer() const;
   // The number of linked peers, including silent ones.
   std::size_t count() const { return m_peers.size(); }
-  // The largest processor time, in thousandths of a core, that a peer has reported which is alive
-  // and, as far as is known, reaches the store; 0 if there is no such peer.
+  // The largest processor time, in thousandths of a core, reported by any peer that is alive and,
+  // as far as is known, reaches the store; 0 if there is no such peer.
   std::uint32_t strongest() const;
   // Whether all other zones are unreachable: peers there have been linked, and all that still are
   // linked are silent. With many peers there, a few silent ones are enough if no other has been
@@ -90,8 +90,8 @@
     std::string zone;
     std::uint64_t rank = 0; // in this instance's order of preference; the lowest comes first
     bool silent = false;
-    bool asks_often = false; // it owns a partition and sends queries periodically
-    bool has_way = true;     // whether it reaches the store; assumed until it reports otherwise
+    bool queries_often = false; // it owns a partition and sends queries periodically
+    bool reaches_store = true;  // assumed until it reports otherwise
     std::uint32_t processor_millis = 0;
     common::time_point heard_at;
     common::time_point avoid_until{};
--- a/Source/UnitTests/Node/AdmissionTest.cpp
+++ b/Source/UnitTests/Node/AdmissionTest.cpp
@@ -90,7 +90,7 @@
     time.run_until(time.now() + milliseconds{50});
   }
 
-  void owner_tells(const node::owner_row& row)
+  void owner_reports(const node::owner_row& row)
   {
     const adapter::row_key key{node::k_owners_table, k_partition, node::k_owner_key};
     partitions.front()->owner_row_changed({key, node::to_row_text(row), ++m_version});
@@ -194,7 +194,7 @@
 
 BOOST_FIXTURE_TEST_CASE(a_job_that_would_start_too_late_is_refused_at_once, gateway_under_test)
 {
-  owner_tells(row_of(k_latest_start + seconds{3}));
+  owner_reports(row_of(k_latest_start + seconds{3}));
   BOOST_TEST(submit("usual") == 503U);
   BOOST_TEST(!kept());
   const auto header = std::find_if(got->headers.begin(), got->headers.end(),
@@ -207,9 +207,9 @@
 
 BOOST_FIXTURE_TEST_CASE(once_the_backlog_is_gone_the_same_job_is_accepted, gateway_under_test)
 {
-  owner_tells(row_of(k_latest_start + seconds{3}));
+  owner_reports(row_of(k_latest_start + seconds{3}));
   BOOST_TEST_REQUIRE(submit("usual") == 503U);
-  owner_tells(row_of(k_latest_start));
+  owner_reports(row_of(k_latest_start));
   BOOST_TEST(submit("usual") == 200U);
   BOOST_TEST(kept());
 }
@@ -217,14 +217,14 @@
 BOOST_FIXTURE_TEST_CASE(a_job_that_is_stored_already_is_not_refused, gateway_under_test)
 {
   BOOST_TEST_REQUIRE(submit("usual") == 200U);
-  owner_tells(row_of(k_latest_start + seconds{3}));
+  owner_reports(row_of(k_latest_start + seconds{3}));
   BOOST_TEST(submit("usual") == 200U);
   BOOST_TEST(kept());
 }
 
 BOOST_FIXTURE_TEST_CASE(an_outdated_owner_row_is_ignored, gateway_under_test)
 {
-  owner_tells(row_of(k_latest_start + seconds{3}));
+  owner_reports(row_of(k_latest_start + seconds{3}));
   time.run_until(time.now() + seconds{3});
   BOOST_TEST(submit("usual") == 200U);
 }
--- a/Source/UnitTests/Node/JobStateQueriesTest.cpp
+++ b/Source/UnitTests/Node/JobStateQueriesTest.cpp
@@ -38,19 +38,19 @@
                                    [this](const std::string&, const common::peer_message& message)
                                    {
                                      if (!disconnected)
-                                       asker.on_reply("instance-1",
-                                                      std::get<common::state_reply>(message));
+                                       follower.on_reply("instance-1",
+                                                         std::get<common::state_reply>(message));
                                    },
                                    owning};
-  node::job_state_queries asker{own.time,
-                                [this](const std::string& peer, const common::peer_message& message)
-                                {
-                                  BOOST_TEST(peer == "instance-1");
-                                  if (!disconnected)
-                                    at_owner.on_query("instance-2",
-                                                      std::get<common::state_question>(message));
-                                },
-                                following};
+  node::job_state_queries follower{
+      own.time,
+      [this](const std::string& peer, const common::peer_message& message)
+      {
+        BOOST_TEST(peer == "instance-1");
+        if (!disconnected)
+          at_owner.on_query("instance-2", std::get<common::state_question>(message));
+      },
+      following};
   bool answered = false;
   std::optional<jobs::job_state> state;
 
@@ -61,18 +61,18 @@
     own.pass(*owning.front(), milliseconds{100});
     BOOST_TEST_REQUIRE(owning.front()->owns());
     following.front()->owner_row_changed(own.owner_row());
-    asker.peer_reachable("instance-1");
+    follower.peer_reachable("instance-1");
   }
 
   void ask()
   {
     answered = false;
-    asker.ask(*following.front(), k_id,
-              [this](std::optional<jobs::job_state> reply)
-              {
-                answered = true;
-                state = reply;
-              });
+    follower.ask(*following.front(), k_id,
+                 [this](std::optional<jobs::job_state> reply)
+                 {
+                   answered = true;
+                   state = reply;
+                 });
   }
 };
 } // namespace
@@ -114,10 +114,10 @@
   ask();
   BOOST_TEST(!answered);
   own.time.run_until(own.time.now() + milliseconds{200});
-  asker.tick(own.time.now());
+  follower.tick(own.time.now());
   BOOST_TEST(answered);
   BOOST_TEST(!state.has_value());
-  asker.peer_unreachable("instance-1");
+  follower.peer_unreachable("instance-1");
   ask();
   BOOST_TEST(answered);
 }
--- a/Source/UnitTests/Node/KnownCapacitiesTest.cpp
+++ b/Source/UnitTests/Node/KnownCapacitiesTest.cpp
@@ -44,14 +44,14 @@
   capacities.add(worker(4000, 64000));
   capacities.add(worker(2000, 4000));
   BOOST_TEST(!capacities.never_fits("docbuild", job(16000, 8000)).has_value());
-  BOOST_TEST(
-      !capacities.never_fits("docbuild", job(30000, 16000)).has_value()); // a larger one may come
+  // A larger worker may be added later.
+  BOOST_TEST(!capacities.never_fits("docbuild", job(30000, 16000)).has_value());
   BOOST_TEST(!capacities.never_fits("docbuild", job(8000, 128000)).has_value());
   const auto reason = capacities.never_fits("docbuild", job(33000, 100));
   BOOST_TEST_REQUIRE(reason.has_value());
   BOOST_TEST(reason->find("step 1") == 0U);
-  BOOST_TEST(capacities.never_fits("docbuild", job(9000, 128000))
-                 .has_value()); // no single worker has both
+  // Twice the capacity of some worker covers each value alone, but of no single worker both.
+  BOOST_TEST(capacities.never_fits("docbuild", job(9000, 128000)).has_value());
   BOOST_TEST(!capacities.never_fits("other", job(33000, 100)).has_value());
 }
 
--- a/Source/UnitTests/Node/PeerMonitorTest.cpp
+++ b/Source/UnitTests/Node/PeerMonitorTest.cpp
@@ -91,8 +91,8 @@
   BOOST_TEST(events == (names{"+owner", "-owner"}), boost::test_tools::per_element());
 }
 
-// Guards against replacing an owner that is merely busy: an owner whose event loop was late by 0.7
-// s was replaced again and again, and the judges reported LOST and SHORT.
+// Guards against replacing an owner that is merely busy: an owner whose event loop was late by
+// 0.7 s was replaced again and again, and the judges reported LOST and SHORT.
 struct late_owner : monitor_under_test
 {
   late_owner() { peers.linked("owner", "other"); }
