--- a/Source/Core/Node/KnownCapacities.cpp
+++ b/Source/Core/Node/KnownCapacities.cpp
@@ -47,7 +47,7 @@
     return std::nullopt;
   for (std::size_t step = 0; step < spec.steps.size(); ++step)
   {
-    const common::resources required = scheduling::room_of(spec.steps[step]);
+    const common::resources required = scheduling::required_resources(spec.steps[step]);
     const bool fits = std::any_of(known->second.begin(), known->second.end(),
                                   [&required](const common::resources& each) {
                                     return required.fits_in(common::scaled(each, k_refusal_factor));
