--- a/Source/Core/Model/WorkerModel.cpp
+++ b/Source/Core/Model/WorkerModel.cpp
@@ -229,7 +229,7 @@
   {
     const auto spec = m_specs->find(each.job);
     if (spec != m_specs->end())
-      used += scheduling::room_of(spec->second.steps[each.place.step]);
+      used += scheduling::required_resources(spec->second.steps[each.place.step]);
   }
   std::erase_if(m_earlier_rooms, [this](const earlier_room& each)
                 { return each.until && *each.until < m_time.now(); });
--- a/Source/Core/Node/SeenCapacities.cpp
+++ b/Source/Core/Node/SeenCapacities.cpp
@@ -46,7 +46,7 @@
     return std::nullopt;
   for (std::size_t step = 0; step < spec.steps.size(); ++step)
   {
-    const common::resources room = scheduling::room_of(spec.steps[step]);
+    const common::resources room = scheduling::required_resources(spec.steps[step]);
     const bool fits = std::any_of(seen->second.begin(), seen->second.end(),
                                   [&room](const common::resources& each)
                                   { return room.fits_in(common::scaled(each, k_beyond)); });
--- a/Source/Core/Scheduling/AdvicePlanner.cpp
+++ b/Source/Core/Scheduling/AdvicePlanner.cpp
@@ -36,7 +36,7 @@
   return worker.offered() && worker.claimed && worker.claim_open() &&
          worker.info.service == job.policy().service &&
          worker.has_label(step.spec->required_label) &&
-         room_of(*step.spec).fits_in(worker.info.capacity);
+         required_resources(*step.spec).fits_in(worker.info.capacity);
 }
 
 bool ruled_out(const step_record& step, const worker_id& worker)
@@ -81,7 +81,8 @@
   for (const auto& [id, worker] : m_state.workers)
   {
     // What most workers lack while steps wait comes first.
-    if (worker->suspect || (why == occasion::waiting && !room_in_time(*worker, job, which, now)))
+    if (worker->unresponsive ||
+        (why == occasion::waiting && !room_in_time(*worker, job, which, now)))
       continue;
     if (!suits(*worker, job, step) || !step.begun.covers(worker->info.zone) ||
         ticket(job, step, id, now) != nullptr)
@@ -108,7 +109,7 @@
                                   const step_ref& which, time_point now) const
 {
   const step_record& step = job.cycles()[which.cycle].steps[which.step];
-  if (room_of(*step.spec).fits_in(worker.free()))
+  if (required_resources(*step.spec).fits_in(worker.free()))
     return m_reservations.allows(worker, job, step, now) ||
            m_reservations.expected(which, worker.info.id).has_value();
   const auto expected = m_reservations.expected(which, worker.info.id);
@@ -129,7 +130,7 @@
   }
   if (m_budget <= 0)
     return;
-  m_budget -= static_cast<std::int64_t>(in.waiting) * room_of(*in.spec).cpu_millis;
+  m_budget -= static_cast<std::int64_t>(in.waiting) * required_resources(*in.spec).cpu_millis;
   ask(job, cycle, step, occasion::waiting, now);
 }
 
--- a/Source/Core/Scheduling/BackgroundLosses.cpp
+++ b/Source/Core/Scheduling/BackgroundLosses.cpp
@@ -20,7 +20,7 @@
 // A loss shows as silence first; a worker that stays silent says nothing of the present.
 bool background_losses::lately_silent(const worker_record& worker, time_point now) const
 {
-  if (!worker.suspect || now - worker.silent_since > m_state.options.background_silence ||
+  if (!worker.unresponsive || now - worker.silent_since > m_state.options.background_silence ||
       worker.silent_after_start(m_state.options.crash_at_start, now))
     return false;
   return std::none_of(worker.runs.begin(), worker.runs.end(),
--- a/Source/Core/Scheduling/Backlog.cpp
+++ b/Source/Core/Scheduling/Backlog.cpp
@@ -46,7 +46,7 @@
     const duration overdue = holder.overdue(*worker, now);
     sum.holds_overdue += overdue > duration{0} ? 1 : 0;
     sum.hold_overdue = std::max(sum.hold_overdue, overdue);
-    sum.workers_silent += worker->suspect ? 1 : 0;
+    sum.workers_silent += worker->unresponsive ? 1 : 0;
     sum.ends_kept += worker->kept_ends.size();
   }
   for (const std::string& id : state.open)
--- a/Source/Core/Scheduling/CrashWatch.cpp
+++ b/Source/Core/Scheduling/CrashWatch.cpp
@@ -208,7 +208,7 @@
     const bool announced = crashes.announced == each.number;
     if (announced)
       crashes.take_back();
-    may_be_lost(*job, each.place);
+    mark_possibly_lost(*job, each.place);
     if (crashed && !each.how && !announced)
     {
       ++crashes.unjudged;
@@ -358,7 +358,7 @@
   m_state.mark_dirty(*run.job);
 }
 
-void crash_watch::may_be_lost(job_record& job, const task_place& place)
+void crash_watch::mark_possibly_lost(job_record& job, const task_place& place)
 {
   task_record& task = job.task(place);
   task.lost = true;
@@ -367,9 +367,9 @@
   m_state.mark_dirty(job);
 }
 
-void crash_watch::may_be_lost_unjudged(job_record& job, const task_place& place)
+void crash_watch::count_unjudged_loss(job_record& job, const task_place& place)
 {
-  may_be_lost(job, place);
+  mark_possibly_lost(job, place);
   jobs::crash_history& crashes = job.task(place).crashes;
   if (crashes.announced != 0 || lost_starts(crashes) > 0)
     return;
@@ -377,7 +377,7 @@
   m_state.mark_dirty(job);
 }
 
-void crash_watch::released(job_record& job, const task_place& place, earlier_worker fate,
+void crash_watch::released(job_record& job, const task_place& place, earlier_worker_status fate,
                            time_point now)
 {
   jobs::crash_history& crashes = job.task(place).crashes;
@@ -387,9 +387,10 @@
   const worker_id worker(crashes.announced_on);
   crashes.take_back();
   m_state.mark_dirty(job);
-  if (fate != earlier_worker::heard)
+  if (fate != earlier_worker_status::heard)
     count(job, place, run, worker,
-          fate == earlier_worker::ended ? verdict::blamed_with_others : verdict::unclear, now);
+          fate == earlier_worker_status::ended ? verdict::blamed_with_others : verdict::unclear,
+          now);
 }
 
 bool crash_watch::may_start(job_record& job, const task_place& place, run_number run,
@@ -478,7 +479,7 @@
     if (worker->kept_for_trial != &task || worker->isolated_until <= now)
       continue;
     kept = true;
-    worker->ask_at_once |= decisive(task) && !heard_lately(*worker, now);
+    worker->hold_requested |= decisive(task) && !heard_lately(*worker, now);
   }
   return kept;
 }
--- a/Source/Core/Scheduling/CrashWatch.h
+++ b/Source/Core/Scheduling/CrashWatch.h
@@ -47,7 +47,7 @@
   // The run goes on.
   void run_heard(run_record& run, time_point now);
   // What is known of the worker that an announced run of an earlier owner was meant for.
-  enum class earlier_worker
+  enum class earlier_worker_status
   {
     heard, // the run is not there
     ended, // its life is over
@@ -55,11 +55,12 @@
   };
   // A run of the task may have been lost with its worker. This is written before the worker's claim
   // goes, which is all that tells a later owner of it.
-  void may_be_lost(job_record& job, const task_place& place);
+  void mark_possibly_lost(job_record& job, const task_place& place);
   // The same of a run of an earlier owner that need not have been announced.
-  void may_be_lost_unjudged(job_record& job, const task_place& place);
+  void count_unjudged_loss(job_record& job, const task_place& place);
   // An earlier owner's task waits again, and an announced run of it has not been heard of.
-  void released(job_record& job, const task_place& place, earlier_worker fate, time_point now);
+  void released(job_record& job, const task_place& place, earlier_worker_status fate,
+                time_point now);
 
   // Whether that run may be started there now: a suspected one only once its announcement is
   // written, which is brought about. One that has lost a run before, or starts beside one on a
--- a/Source/Core/Scheduling/Evacuator.cpp
+++ b/Source/Core/Scheduling/Evacuator.cpp
@@ -21,7 +21,7 @@
   std::erase_if(m_reserved, [now](const auto& each) { return each.second <= now; });
   for (const auto& [id, worker] : m_state.workers)
   {
-    if (worker->info.draining && worker->present() && worker->claimed && !worker->suspect)
+    if (worker->info.draining && worker->present() && worker->claimed && !worker->unresponsive)
       evacuate(*worker, now);
   }
 }
--- a/Source/Core/Scheduling/JobScheduler.cpp
+++ b/Source/Core/Scheduling/JobScheduler.cpp
@@ -224,16 +224,16 @@
 
 bool job_scheduler::claim_outdated(const worker_record& worker, time_point now) const
 {
-  if (worker.claim_sent)
+  if (worker.claim_in_flight)
     return false;
   const bool silent = ends_unheard(worker, now);
   // Nothing can be stated earlier than it is known: the doubted end is replaced by a later one.
-  if (worker.claim_doubted)
+  if (worker.claim_end_untrusted)
     return worker.claimed || silent;
   const bool end_kept = worker.claim && worker.claim->over;
   if (!worker.claimed)
     return silent && (!end_kept || worker.lease_end < *worker.claim->over);
-  const bool closed = worker.wants_closed_claim(m_state.options.close_claim, now);
+  const bool closed = worker.should_close_claim(m_state.options.close_claim, now);
   return !worker.claim || worker.claim->born != worker.born || worker.claim->closed != closed ||
          end_kept != silent || (closed && worker.runs.size() < worker.claim->tasks.size());
 }
@@ -254,7 +254,7 @@
   claim.born = worker.born;
   if (!worker.claimed)
     return claim;
-  claim.closed = worker.wants_closed_claim(m_state.options.close_claim, now);
+  claim.closed = worker.should_close_claim(m_state.options.close_claim, now);
   if (!claim.closed)
     return claim;
   for (const auto& [task, run] : worker.runs)
@@ -298,8 +298,8 @@
       batch.complete = false;
       continue;
     }
-    worker->claim_sent = claim_of(*worker, now);
-    batch.claims[id] = *worker->claim_sent;
+    worker->claim_in_flight = claim_of(*worker, now);
+    batch.claims[id] = *worker->claim_in_flight;
   }
   return batch;
 }
@@ -327,10 +327,10 @@
     if (worker_record* const worker = m_state.find_worker(id))
     {
       // Its leases may be extended again, and have not been meanwhile.
-      worker->ask_at_once |= worker->end_stated() && !claim.over;
+      worker->hold_requested |= worker->end_stated() && !claim.over;
       worker->claim = claim;
-      worker->claim_doubted = false;
-      worker->claim_sent.reset();
+      worker->claim_end_untrusted = false;
+      worker->claim_in_flight.reset();
     }
   }
   for (const auto& [id, text] : batch.rows)
@@ -410,7 +410,7 @@
   m_crashes.tick(now);
   m_copies.tick(now);
   if (survey)
-    m_follower.repeat_orders(now);
+    m_follower.resend_requests(now);
   m_state.place_again = false;
   m_placer.place(now, survey);
   if (survey)
--- a/Source/Core/Scheduling/JobScheduler.h
+++ b/Source/Core/Scheduling/JobScheduler.h
@@ -20,7 +20,7 @@
 #include "Scheduling/PartitionLoad.h"
 #include "Scheduling/Placer.h"
 #include "Scheduling/Reservations.h"
-#include "Scheduling/RunFollower.h"
+#include "Scheduling/RunTracker.h"
 #include "Scheduling/SchedulerState.h"
 #include "Scheduling/WaitReport.h"
 #include "Scheduling/WorkerHolder.h"
@@ -158,7 +158,7 @@
   crash_watch m_crashes;
   takeover_accounting m_accounting;
   copy_watch m_copies;
-  run_follower m_follower;
+  run_tracker m_follower;
   worker_holder m_holder;
   zone_chooser m_zones;
   reservations m_reservations;
--- a/Source/Core/Scheduling/PartitionLoad.cpp
+++ b/Source/Core/Scheduling/PartitionLoad.cpp
@@ -13,7 +13,7 @@
   for (const cycle_record& cycle : job.cycles())
   {
     for (const step_record& step : cycle.steps)
-      sum += static_cast<std::int64_t>(step.waiting) * room_of(*step.spec).cpu_millis;
+      sum += static_cast<std::int64_t>(step.waiting) * required_resources(*step.spec).cpu_millis;
   }
   return sum;
 }
@@ -52,7 +52,7 @@
   }
   for (const auto& [id, worker] : state.workers)
   {
-    if (!worker->offered() || !worker->claimed || worker->suspect)
+    if (!worker->offered() || !worker->claimed || worker->unresponsive)
       continue;
     ++load.usable_workers;
     add_labels(worker->info, load.labels);
--- a/Source/Core/Scheduling/Placer.cpp
+++ b/Source/Core/Scheduling/Placer.cpp
@@ -43,7 +43,7 @@
     return;
   std::int64_t free = 0;
   for (const auto& [id, worker] : m_state.workers)
-    free += worker->offered() && !worker->suspect ? worker->idle_cpu_millis() : 0;
+    free += worker->offered() && !worker->unresponsive ? worker->idle_cpu_millis() : 0;
   m_advice.set_budget(free);
   if (survey)
     avoid_slow_workers(now);
@@ -154,10 +154,10 @@
                       const task_place& place) const
 {
   const step_record& step = job.cycles()[place.cycle].steps[place.step];
-  if (!worker.foreign.empty() || !room_of(*step.spec).fits_in(worker.free()))
+  if (!worker.foreign.empty() || !required_resources(*step.spec).fits_in(worker.free()))
     return false;
   return step.spec->most_per_worker == 0 ||
-         worker.tasks_of(job, place.cycle, place.step) < step.spec->most_per_worker;
+         worker.count_runs_of_step(job, place.cycle, place.step) < step.spec->most_per_worker;
 }
 
 // The fullest worker that still has room, so that others keep room for large tasks. For a task that
@@ -166,7 +166,7 @@
                           const task_record& task, time_point now) const
 {
   const double share =
-      common::dominant_share(worker.used + room_of(*step.spec), worker.info.capacity);
+      common::dominant_share(worker.used + required_resources(*step.spec), worker.info.capacity);
   const double used = suspected(task.crashes) ? -share : share;
   const bool near = !step.spec->data_rack.empty() && worker.info.rack == step.spec->data_rack;
   const bool announced = task.crashes.announced_on == worker.info.id.value;
@@ -351,9 +351,9 @@
   const worker_record& worker = *run.worker;
   // A copy of what may have crashed its worker would take the next one before that is known.
   const jobs::crash_history& crashes = run.job->task(run.place).crashes;
-  if (suspected(crashes) || (worker.suspect && crashes.any()))
+  if (suspected(crashes) || (worker.unresponsive && crashes.any()))
     return false;
-  if (worker.suspect && now - worker.silent_since >= m_state.options.copy_silent)
+  if (worker.unresponsive && now - worker.silent_since >= m_state.options.copy_silent)
     return true;
   return m_state.overdue(run, now);
 }
@@ -387,13 +387,13 @@
       continue;
     }
     const run_number number = job.task(place).last_run + 1;
-    if (!m_crashes.may_start(job, place, number, *worker, run->worker->suspect))
+    if (!m_crashes.may_start(job, place, number, *worker, run->worker->unresponsive))
       continue;
     common::log_request("copy_started", job.id(),
                         {{"step", place.step},
                          {"task", place.index},
                          {"beside", run->worker->info.id.value},
-                         {"silent", run->worker->suspect},
+                         {"silent", run->worker->unresponsive},
                          {"running_ms", now - run->begun}});
     m_state.metrics.add(common::retry_reason::worker_lost);
     start(job, place, number, *worker, now);
--- a/Source/Core/Scheduling/Reservations.cpp
+++ b/Source/Core/Scheduling/Reservations.cpp
@@ -22,7 +22,8 @@
 
 bool reservations::large(const step_record& step, const worker_record& worker) const
 {
-  return common::dominant_share(room_of(*step.spec), worker.info.capacity) >= k_large_share;
+  return common::dominant_share(required_resources(*step.spec), worker.info.capacity) >=
+         k_large_share;
 }
 
 time_point reservations::expected_end(const run_record& run, time_point now) const
@@ -74,7 +75,7 @@
   // No room comes sooner than now.
   if (now + job.chain_from(step) > job.objective())
     return;
-  const common::resources room = room_of(*in.spec);
+  const common::resources room = required_resources(*in.spec);
   std::vector<std::pair<time_point, worker_id>> candidates;
   const auto consider = [&](const worker_record& worker)
   {
@@ -115,7 +116,7 @@
   const duration takes = m_state.runtimes.expected(job.accepted().queue, step.spec->estimate);
   if (!step.spec->long_running && step.spec->estimate.count() > 0 && now + takes <= held.when)
     return true;
-  return room_of(*step.spec).fits_in(free_at(worker, held.when, now) - held.room);
+  return required_resources(*step.spec).fits_in(free_at(worker, held.when, now) - held.room);
 }
 
 std::optional<time_point> reservations::expected(const step_ref& step,
--- a/Source/Core/Scheduling/RunFollower.cpp
+++ b/Source/Core/Scheduling/RunTracker.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Scheduling/RunFollower.h"
+#include "Scheduling/RunTracker.h"
 
 #include <algorithm>
 #include <set>
@@ -10,12 +10,12 @@
 
 namespace yardhill::scheduling
 {
-run_follower::run_follower(scheduler_state& state, crash_watch& crashes, copy_watch& copies)
+run_tracker::run_tracker(scheduler_state& state, crash_watch& crashes, copy_watch& copies)
     : m_state(state), m_crashes(crashes), m_copies(copies)
 {
 }
 
-void run_follower::on_start(const start_answer& answer, time_point now)
+void run_tracker::on_start(const start_answer& answer, time_point now)
 {
   if (answer.end == call_end::fenced)
   {
@@ -47,7 +47,7 @@
   }
 }
 
-void run_follower::start_refused(run_record& run, call_end end, time_point now)
+void run_tracker::start_refused(run_record& run, call_end end, time_point now)
 {
   worker_record& worker = *run.worker;
   m_state.metrics.add(common::retry_reason::start_refused);
@@ -73,7 +73,7 @@
         end == call_end::bad_ticket || (end == call_end::too_late && !run.spec().speculative);
     if (stays && !run.start_void)
       run.start_void = now;
-    worker.ask_at_once |= stays || end == call_end::outdated;
+    worker.hold_requested |= stays || end == call_end::outdated;
     return;
   }
   if (run.sends > 1 || run.phase == run_phase::stopping)
@@ -88,7 +88,7 @@
     break_gang(job, place, number, now);
 }
 
-void run_follower::on_stop(const stop_answer& answer, time_point now)
+void run_tracker::on_stop(const stop_answer& answer, time_point now)
 {
   if (answer.end == call_end::fenced)
     m_state.note_fenced(answer.worker, answer.token);
@@ -101,7 +101,7 @@
     run->stop_answered = now;
 }
 
-void run_follower::on_lists(worker_record& worker, const hold_answer& answer, time_point now)
+void run_tracker::on_lists(worker_record& worker, const hold_answer& answer, time_point now)
 {
   for (const listed_end& end : answer.ended)
   {
@@ -121,7 +121,7 @@
   drop_missing(worker, answer, now);
 }
 
-void run_follower::apply_end(worker_record& worker, const listed_end& end, time_point now)
+void run_tracker::apply_end(worker_record& worker, const listed_end& end, time_point now)
 {
   job_record* const job = m_state.find_job(end.task.job);
   if (job == nullptr || !job->contains(end.task.place))
@@ -164,7 +164,7 @@
     check_complete(*job, now);
 }
 
-void run_follower::note_failures(worker_record& worker, const listed_end& end, time_point now)
+void run_tracker::note_failures(worker_record& worker, const listed_end& end, time_point now)
 {
   if (end.how == run_end::done)
     worker.failures_in_a_row = 0;
@@ -178,7 +178,7 @@
                                         {"failures_in_a_row", worker.failures_in_a_row}});
 }
 
-void run_follower::task_done(job_record& job, const task_place& place, time_point now)
+void run_tracker::task_done(job_record& job, const task_place& place, time_point now)
 {
   step_record& step = job.step(place);
   if (step.spec->long_running)
@@ -199,7 +199,7 @@
   m_state.place_again = true;
 }
 
-void run_follower::task_failed(job_record& job, const listed_end& end, time_point now)
+void run_tracker::task_failed(job_record& job, const listed_end& end, time_point now)
 {
   step_record& step = job.step(end.task.place);
   m_state.metrics.add(common::retry_reason::attempt_failed);
@@ -223,8 +223,8 @@
     break_gang(job, end.task.place, end.run, now);
 }
 
-void run_follower::break_gang(job_record& job, const task_place& place, run_number number,
-                              time_point now)
+void run_tracker::break_gang(job_record& job, const task_place& place, run_number number,
+                             time_point now)
 {
   for (task_record& task : job.step(place).tasks)
   {
@@ -236,7 +236,7 @@
   }
 }
 
-void run_follower::apply_running(worker_record& worker, const listed_run& listed, time_point now)
+void run_tracker::apply_running(worker_record& worker, const listed_run& listed, time_point now)
 {
   const auto found = worker.runs.find(listed.task);
   if (found != worker.runs.end() && found->second->number == listed.run)
@@ -266,8 +266,8 @@
     stop_foreign(worker, listed, now);
 }
 
-void run_follower::take_over_run(worker_record& worker, job_record& job, const listed_run& listed,
-                                 time_point now)
+void run_tracker::take_over_run(worker_record& worker, job_record& job, const listed_run& listed,
+                                time_point now)
 {
   run_record& run = m_state.add_run(job, listed.task.place, listed.run, worker, now);
   run.phase = run_phase::running;
@@ -284,7 +284,7 @@
                        {"worker", worker.info.id.value}});
 }
 
-void run_follower::stop_foreign(worker_record& worker, const listed_run& listed, time_point now)
+void run_tracker::stop_foreign(worker_record& worker, const listed_run& listed, time_point now)
 {
   common::log_request("unwanted_run_stopped", listed.task.job,
                       {{"step", listed.task.place.step},
@@ -297,7 +297,7 @@
 }
 
 // Runs that the lists should show and do not.
-void run_follower::drop_missing(worker_record& worker, const hold_answer& answer, time_point now)
+void run_tracker::drop_missing(worker_record& worker, const hold_answer& answer, time_point now)
 {
   const auto listed = [&answer](const task_ref& task, run_number run)
   {
@@ -338,13 +338,13 @@
   }
 }
 
-void run_follower::check_complete(job_record& job, time_point now)
+void run_tracker::check_complete(job_record& job, time_point now)
 {
   if (!job.ended() && job.all_done())
     m_copies.complete(job, now);
 }
 
-void run_follower::repeat_orders(time_point now)
+void run_tracker::resend_requests(time_point now)
 {
   if (!m_state.may_act(now))
     return;
@@ -362,10 +362,10 @@
   }
 }
 
-void run_follower::repeat_start(run_record& run, time_point now)
+void run_tracker::repeat_start(run_record& run, time_point now)
 {
   worker_record& worker = *run.worker;
-  if (worker.suspect || run.orphaned || run.start_answered || run.start_void)
+  if (worker.unresponsive || run.orphaned || run.start_answered || run.start_void)
     return;
   // Holds may have extended the lease for which the worker would take an earlier copy, so its end
   // alone does not void them.
@@ -378,7 +378,7 @@
   if (run.ticket_over && *run.ticket_over <= now)
   {
     run.start_void = now;
-    worker.ask_at_once = true;
+    worker.hold_requested = true;
     return;
   }
   run.last_sent = now;
@@ -390,7 +390,7 @@
                     run.job->task(run.place).checkpoint, run.ticket, worker.token});
 }
 
-void run_follower::cancel(job_record& job, time_point now)
+void run_tracker::cancel(job_record& job, time_point now)
 {
   m_state.end_job(job, jobs::job_state::cancelled, now);
 }
--- a/Source/Core/Scheduling/RunFollower.h
+++ b/Source/Core/Scheduling/RunTracker.h
@@ -12,17 +12,17 @@
 
 namespace yardhill::scheduling
 {
-class run_follower
+class run_tracker
 {
 public:
-  run_follower(scheduler_state& state, crash_watch& crashes, copy_watch& copies);
+  run_tracker(scheduler_state& state, crash_watch& crashes, copy_watch& copies);
 
   void on_start(const start_answer& answer, time_point now);
   void on_stop(const stop_answer& answer, time_point now);
   // The lists of an answered hold.
   void on_lists(worker_record& worker, const hold_answer& answer, time_point now);
   // Sends unanswered orders again.
-  void repeat_orders(time_point now);
+  void resend_requests(time_point now);
   void cancel(job_record& job, time_point now);
 
 private:
--- a/Source/Core/Scheduling/SchedulerOptions.h
+++ b/Source/Core/Scheduling/SchedulerOptions.h
@@ -105,7 +105,8 @@
   // From ordering a task's stop until it has begun elsewhere: the longest stop (900 ms) and two
   // answers. Until then nothing else is moved to the same worker.
   duration move_time = std::chrono::milliseconds{1100};
-  // Calls in a row without an answer that make a worker suspect; a hold without one does at once.
+  // Calls in a row without an answer that make a worker unresponsive; a hold without one does at
+  // once.
   unsigned unanswered_to_suspect = 2;
   // Orders in a row that none of a zone's workers has answered: it seems cut off, and nothing is
   // started there until one of them is heard. Where a fifth of all answers is lost (the most at the
--- a/Source/Core/Scheduling/SchedulerState.cpp
+++ b/Source/Core/Scheduling/SchedulerState.cpp
@@ -75,7 +75,7 @@
 
 bool scheduler_state::usable(const worker_record& worker, time_point now) const
 {
-  if (worker.suspect || worker.avoid_until > now)
+  if (worker.unresponsive || worker.avoid_until > now)
     return false;
   const auto silence = zone_silences.find(worker.info.zone);
   return silence == zone_silences.end() ||
@@ -121,7 +121,7 @@
   run->place = place;
   run->number = number;
   run->worker = &worker;
-  run->room = room_of(*job.step(place).spec);
+  run->room = required_resources(*job.step(place).spec);
   run->begun = now;
   run->checkpoint = job.task(place).checkpoint;
   worker.used += run->room;
@@ -215,7 +215,7 @@
     return;
   worker.token = newest_token;
   // A hold that waits there bears the earlier token, so its lists will not be believed.
-  worker.ask_at_once |= !worker.suspect;
+  worker.hold_requested |= !worker.unresponsive;
 }
 
 // This owner has given the worker a newer token itself, if the call's was not the latest one: such
@@ -231,7 +231,7 @@
   std::vector<run_record*> lost;
   for (const auto& [task, run] : worker.runs)
   {
-    if (which == lost_runs::all || !run->may_be_on_its_way())
+    if (which == lost_runs::all || !run->start_may_be_in_flight())
       lost.push_back(run.get());
   }
   for (run_record* const each : lost)
--- a/Source/Core/Scheduling/TakeoverAccounting.cpp
+++ b/Source/Core/Scheduling/TakeoverAccounting.cpp
@@ -24,7 +24,7 @@
 
 void takeover_accounting::life_ended(const worker_id& id, time_point now)
 {
-  m_lost_workers[id] = crash_watch::earlier_worker::ended;
+  m_lost_workers[id] = crash_watch::earlier_worker_status::ended;
   note_lost_with(id, now);
 }
 
@@ -69,7 +69,7 @@
 {
   if (!job.contains(place) || job.task(place).phase != task_phase::unaccounted)
     return;
-  m_crashes.may_be_lost_unjudged(job, place);
+  m_crashes.count_unjudged_loss(job, place);
   if (const auto fate = m_lost_workers.find(worker_id(job.task(place).crashes.announced_on));
       fate != m_lost_workers.end())
     m_crashes.released(job, place, fate->second, now);
@@ -103,7 +103,8 @@
   {
     const worker_record* const worker = m_state.find_worker(each.first);
     const bool over = worker == nullptr || now >= worker->lease_end;
-    if (over && m_lost_workers.emplace(each.first, crash_watch::earlier_worker::unheard).second)
+    if (over &&
+        m_lost_workers.emplace(each.first, crash_watch::earlier_worker_status::unheard).second)
       note_lost_with(each.first, now);
     return over;
   };
@@ -200,10 +201,10 @@
                          {"lease_left_ms", worker.lease_end - now}});
 }
 
-crash_watch::earlier_worker takeover_accounting::fate_of(const std::string& worker) const
+crash_watch::earlier_worker_status takeover_accounting::fate_of(const std::string& worker) const
 {
   const auto found = m_lost_workers.find(worker_id(worker));
-  return found == m_lost_workers.end() ? crash_watch::earlier_worker::heard : found->second;
+  return found == m_lost_workers.end() ? crash_watch::earlier_worker_status::heard : found->second;
 }
 
 bool takeover_accounting::may_run_in(const step_record& step, const std::string& zone)
@@ -235,7 +236,7 @@
           continue;
         job.set_phase(place, task_phase::waiting);
         if (!m_lost_workers.empty())
-          m_crashes.may_be_lost(job, place);
+          m_crashes.mark_possibly_lost(job, place);
         m_crashes.released(job, place, fate_of(job.task(place).crashes.announced_on), now);
         ++released;
       }
--- a/Source/Core/Scheduling/TakeoverAccounting.h
+++ b/Source/Core/Scheduling/TakeoverAccounting.h
@@ -46,7 +46,7 @@
   void note_lost_with(const worker_id& id, time_point now);
   void note_lost_in_zone(job_record& job, const std::string& zone, time_point now);
   void note_lost(job_record& job, const task_place& place, time_point now);
-  crash_watch::earlier_worker fate_of(const std::string& worker) const;
+  crash_watch::earlier_worker_status fate_of(const std::string& worker) const;
   void release_accounted(const char* why, time_point now);
   std::size_t release_tasks(job_record& job, const std::set<task_ref>& held, time_point now);
   // Whether something of the step may run on an unheard worker of that zone.
@@ -59,7 +59,7 @@
   bool m_under_way = false;
   // Workers that earlier owners had claimed, and whose lives have ended, or that were not heard
   // until their leases were over, with all that had been started there.
-  std::map<worker_id, crash_watch::earlier_worker> m_lost_workers;
+  std::map<worker_id, crash_watch::earlier_worker_status> m_lost_workers;
   // Anything of earlier owners that has begun in its zone may run there; zones by worker, empty if
   // not known.
   std::map<worker_id, std::string> m_unheard;
--- a/Source/Core/Scheduling/WaitReport.cpp
+++ b/Source/Core/Scheduling/WaitReport.cpp
@@ -163,7 +163,7 @@
     return wait_reason::run_orphaned;
   if (run.phase == run_phase::stopping)
     return wait_reason::run_stopping;
-  if (run.worker->suspect)
+  if (run.worker->unresponsive)
     return wait_reason::run_silent;
   if (!run.listed && !run.start_answered)
     return wait_reason::run_unanswered;
--- a/Source/Core/Scheduling/WorkerHolder.cpp
+++ b/Source/Core/Scheduling/WorkerHolder.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned k_most_holds = 2;
 } // namespace
 
-worker_holder::worker_holder(scheduler_state& state, crash_watch& crashes, run_follower& follower,
+worker_holder::worker_holder(scheduler_state& state, crash_watch& crashes, run_tracker& follower,
                              takeover_accounting& accounting, copy_watch& copies)
     : m_state(state),
       m_crashes(crashes),
@@ -47,8 +47,8 @@
   worker.taken_over = now;
   worker.known = claim.born.has_value();
   worker.born = claim.born;
-  worker.claim_doubted = claim.over && m_state.stated_ends_doubted;
-  if (worker.claim_doubted)
+  worker.claim_end_untrusted = claim.over && m_state.stated_ends_doubted;
+  if (worker.claim_end_untrusted)
     worker.claim->over.reset();
   else if (claim.over)
     worker.lease_end = std::min(worker.lease_end, *claim.over);
@@ -71,7 +71,7 @@
   // is there: the worker is asked, and nothing new is meant for it until its entry is its own.
   if (worker.known && info.born != worker.born)
   {
-    worker.ask_at_once |= !worker.other_entry || worker.other_entry->born != info.born;
+    worker.hold_requested |= !worker.other_entry || worker.other_entry->born != info.born;
     worker.other_entry = info;
     return;
   }
@@ -99,7 +99,7 @@
   for (auto& [id, worker] : m_state.workers)
   {
     if (id != info.id && worker->info.address == info.address && !worker->over)
-      worker->ask_at_once = true;
+      worker->hold_requested = true;
   }
 }
 
@@ -115,7 +115,7 @@
   if (worker->claimed && !worker->info.draining)
   {
     worker->forget_at = now + m_state.options.unlisted_most;
-    worker->ask_at_once = true;
+    worker->hold_requested = true;
   }
   common::log_process("worker_entry_gone", {{"worker", id.value},
                                             {"runs", worker->runs.size()},
@@ -154,7 +154,7 @@
     if (!(worker->token_wanted || worker->token_outdated) || m_state.newest_token <= worker->token)
       continue;
     worker->token = m_state.newest_token;
-    worker->ask_at_once |= worker->token_wanted || !worker->suspect;
+    worker->hold_requested |= worker->token_wanted || !worker->unresponsive;
     worker->token_wanted = worker->token_outdated = false;
   }
 }
@@ -166,7 +166,7 @@
     return;
   if (sent < worker->told_at)
   {
-    worker->ask_at_once = true; // it may have begun since
+    worker->hold_requested = true; // it may have begun since
     return;
   }
   life_ended(*worker, scheduler_state::lost_runs::all,
@@ -188,7 +188,7 @@
   const bool same = worker.known && answer.born == worker.born;
   if (!same && (worker.over || answer.sent < worker.told_at))
   {
-    worker.ask_at_once = !worker.over;
+    worker.hold_requested = !worker.over;
     return false;
   }
   if (worker.known && !same)
@@ -215,7 +215,7 @@
   // What was sent to the life before may extend this one's leases as far as they go.
   worker.follows_another = true;
   worker.lease_end = now + m_state.options.longest_lease_of_others();
-  worker.ask_at_once = true;
+  worker.hold_requested = true;
   if (worker.other_entry && worker.other_entry->born == answer.born)
   {
     worker.info = *worker.other_entry;
@@ -230,7 +230,7 @@
   hold_command order;
   order.worker = worker.info.id;
   order.address =
-      worker.suspect && worker.other_entry ? worker.other_entry->address : worker.info.address;
+      worker.unresponsive && worker.other_entry ? worker.other_entry->address : worker.info.address;
   order.token = worker.token;
   // Ends of another life bear the same numbers, and one that is not known yet may have carried out
   // what was sent since the latest lists: none of its ends is to be forgotten unread.
@@ -239,16 +239,16 @@
   order.acknowledged = surely_there ? forgettable : 0;
   // A worker that does not answer gets no longer lease: its runs must end some day. Nor does one of
   // which the store says when they do, until that is taken back.
-  if (m_state.orders_begun && worker.claimed && !worker.suspect && worker.clock_ahead &&
+  if (m_state.orders_begun && worker.claimed && !worker.unresponsive && worker.clock_ahead &&
       !worker.end_stated())
     order.lease_end = m_state.extended_lease(worker, now);
   // The worker forgets the ends acknowledged here before it looks for news, so the call that tells
   // it of them waits for the next one: one call an end instead of two.
-  const bool settled = worker.claimed && !worker.suspect && worker.seen == forgettable;
+  const bool settled = worker.claimed && !worker.unresponsive && worker.seen == forgettable;
   const bool forgets = surely_there || forgettable == worker.acknowledged;
-  if (settled && forgets && !worker.ask_at_once && !worker.end_stated())
+  if (settled && forgets && !worker.hold_requested && !worker.end_stated())
     order.wait = hold_wait();
-  worker.ask_at_once = false;
+  worker.hold_requested = false;
   ++worker.holds_under_way;
   worker.last_hold = now;
   m_state.commands.emplace_back(std::move(order));
@@ -278,13 +278,13 @@
   if (worker.over || worker.token_wanted)
     return false;
   const duration since = now - worker.last_hold;
-  if (worker.ask_at_once)
+  if (worker.hold_requested)
     return worker.holds_under_way < k_most_holds;
   if (worker.holds_under_way > 0)
     return false;
   if (!worker.claimed && worker.listed)
     return since >= m_state.options.first_hold_retry;
-  if (!worker.claimed || worker.suspect || worker.end_stated())
+  if (!worker.claimed || worker.unresponsive || worker.end_stated())
     return since >= m_state.options.hold_retry;
   if (m_copies.acknowledgeable(worker, now) > worker.acknowledged)
     return true;
@@ -331,14 +331,14 @@
   const bool lost = answer.end != call_end::done;
   if (!lost && !from_present_life(*worker, answer, now))
     return;
-  if (lost != worker->suspect)
+  if (lost != worker->unresponsive)
     common::log_process(lost ? "worker_silent" : "worker_heard",
                         {{"worker", worker->info.id.value},
                          {"end", to_text(answer.end)},
                          {"runs", worker->runs.size()},
                          {"waited_for", m_accounting.waits_for(answer.worker)},
                          {"lease_left_ms", worker->lease_end - now}});
-  if (lost && !worker->suspect)
+  if (lost && !worker->unresponsive)
     m_accounting.tell_listed(*worker, now);
   worker->set_suspect(lost, now);
   worker->life_doubted |= lost;
@@ -398,7 +398,7 @@
     if (!worker.runs.empty() && now >= worker.lease_end)
       m_crashes.leases_over(worker, "its lease is over", now);
     if (!worker.present() && worker.runs.empty() && worker.holds_under_way == 0 &&
-        !worker.claim_sent && now >= std::max(worker.lease_end, worker.forget_at))
+        !worker.claim_in_flight && now >= std::max(worker.lease_end, worker.forget_at))
     {
       if (worker.claim)
         m_state.released.insert(each->first);
--- a/Source/Core/Scheduling/WorkerHolder.h
+++ b/Source/Core/Scheduling/WorkerHolder.h
@@ -7,7 +7,7 @@
 // ends. Knows which workers have left or started again, and when what ran there has surely ended.
 
 #include "Scheduling/CrashWatch.h"
-#include "Scheduling/RunFollower.h"
+#include "Scheduling/RunTracker.h"
 #include "Scheduling/SchedulerState.h"
 #include "Scheduling/TakeoverAccounting.h"
 
@@ -16,7 +16,7 @@
 class worker_holder
 {
 public:
-  worker_holder(scheduler_state& state, crash_watch& crashes, run_follower& follower,
+  worker_holder(scheduler_state& state, crash_watch& crashes, run_tracker& follower,
                 takeover_accounting& accounting, copy_watch& copies);
 
   // A worker that an earlier owner had claimed; its entry may come later or never.
@@ -57,7 +57,7 @@
   std::size_t m_unheard = 0;
   scheduler_state& m_state;
   crash_watch& m_crashes;
-  run_follower& m_follower;
+  run_tracker& m_follower;
   takeover_accounting& m_accounting;
   copy_watch& m_copies;
 };
--- a/Source/Core/Scheduling/WorkerRecord.cpp
+++ b/Source/Core/Scheduling/WorkerRecord.cpp
@@ -23,9 +23,9 @@
 
 void worker_record::set_suspect(bool silent, time_point now)
 {
-  if (silent && !suspect)
+  if (silent && !unresponsive)
     silent_since = now;
-  suspect = silent;
+  unresponsive = silent;
 }
 
 void worker_record::note_order(bool answered, unsigned most_unanswered, time_point now)
@@ -36,26 +36,26 @@
     set_suspect(!answered, now);
 }
 
-bool worker_record::wants_closed_claim(duration patience, time_point now) const
+bool worker_record::should_close_claim(duration patience, time_point now) const
 {
   return info.draining || silent_for(patience, now);
 }
 
 bool worker_record::silent_for(duration patience, time_point now) const
 {
-  return suspect && now - silent_since >= patience;
+  return unresponsive && now - silent_since >= patience;
 }
 
 bool worker_record::silent_after_start(duration within, time_point now) const
 {
-  const time_point silent = suspect ? silent_since : now;
+  const time_point silent = unresponsive ? silent_since : now;
   return std::any_of(runs.begin(), runs.end(),
                      [within, silent](const auto& each)
                      { return silent - each.second->begun <= within; });
 }
 
-std::uint32_t worker_record::tasks_of(const job_record& job, std::uint32_t cycle,
-                                      std::uint32_t step) const
+std::uint32_t worker_record::count_runs_of_step(const job_record& job, std::uint32_t cycle,
+                                                std::uint32_t step) const
 {
   const auto first = runs.lower_bound({job.id(), {cycle, step, 0}});
   std::uint32_t count = 0;
@@ -72,7 +72,7 @@
          std::find(info.labels.begin(), info.labels.end(), label) != info.labels.end();
 }
 
-common::resources room_of(const jobs::step_spec& step)
+common::resources required_resources(const jobs::step_spec& step)
 {
   common::resources room = step.demand;
   if (step.fills_idle)
--- a/Source/Core/Scheduling/WorkerRecord.h
+++ b/Source/Core/Scheduling/WorkerRecord.h
@@ -56,7 +56,7 @@
   std::uint32_t pace = 100; // percent, as it was last set
 
   // Whether a copy of its start may be carried out yet, by whatever life is there then.
-  bool may_be_on_its_way() const { return sends > answers || !listed; }
+  bool start_may_be_in_flight() const { return sends > answers || !listed; }
   // Whether its start may still be carried out: nothing tells yet that it was, or cannot be.
   bool may_begin() const
   {
@@ -87,9 +87,9 @@
   // It has answered a hold sent since its entry went: entries lapse while the store cannot hear of
   // their workers, and come back seconds later.
   bool heard_unlisted = false;
-  bool over = false;    // another worker has its address; late answers do not bring it back
-  bool claimed = false; // it has answered a hold with this owner's token
-  bool suspect = false; // its last answer did not come
+  bool over = false;         // another worker has its address; late answers do not bring it back
+  bool claimed = false;      // it has answered a hold with this owner's token
+  bool unresponsive = false; // its last answer did not come
   time_point silent_since{};
   time_point first_seen{};
   std::optional<time_point> taken_over; // since when it has been asked, if an earlier owner's
@@ -108,7 +108,7 @@
   unsigned unanswered = 0; // orders in a row
   unsigned failures_in_a_row = 0;
 
-  bool ask_at_once = false;      // it has news that the hold under way may have lost
+  bool hold_requested = false;   // it has news that the hold under way may have lost
   worker_clock_time listed_at{}; // of the latest lists taken in; answers may overtake each other
 
   end_number seen = 0;         // the highest end taken into memory
@@ -137,8 +137,9 @@
   // only while that is an open claim of the present life: anything may run there. A closed one
   // lists what may, and nothing is added to it.
   std::optional<worker_claim> claim;
-  std::optional<worker_claim> claim_sent;
-  bool claim_doubted = false; // it states an end that is not believed, until another one is written
+  std::optional<worker_claim> claim_in_flight;
+  bool claim_end_untrusted =
+      false; // it states an end that is not believed, until another one is written
   // What orders to it bear. A life that follows one which this owner has ordered about gets a
   // higher one, so that it does nothing of what was sent before; none is given it until there is.
   fencing_token token = 0;
@@ -161,32 +162,34 @@
   bool offered() const { return present() && entry_valid && described() && !info.draining; }
   worker_clock_time clock_at(time_point now) const;
   void set_suspect(bool silent, time_point now);
-  // Counts an order's outcome; several unanswered ones in a row make the worker suspect.
+  // Counts an order's outcome; several unanswered ones in a row make the worker unresponsive.
   void note_order(bool answered, unsigned most_unanswered, time_point now);
   // Whether its claim ought to be closed: nothing is started on a silent or leaving worker, so what
   // runs there can be told. And whether runs may be started there.
-  bool wants_closed_claim(duration patience, time_point now) const;
+  bool should_close_claim(duration patience, time_point now) const;
   bool silent_for(duration patience, time_point now) const;
   // Whether one of its runs had begun no longer than that before it fell silent.
   bool silent_after_start(duration within, time_point now) const;
   bool claim_open() const
   {
-    return claim && claim->born == born && !claim->closed && !claim->over && !claim_sent &&
-           !claim_doubted;
+    return claim && claim->born == born && !claim->closed && !claim->over && !claim_in_flight &&
+           !claim_end_untrusted;
   }
   // Whether later owners may read when all that runs there is over: no lease may be extended.
   bool end_stated() const
   {
-    return claim_doubted || (claim && claim->over) || (claim_sent && claim_sent->over);
+    return claim_end_untrusted || (claim && claim->over) ||
+           (claim_in_flight && claim_in_flight->over);
   }
   common::resources free() const { return info.capacity - used; }
   // What it can give of the cell's free processors: nothing where its room has shrunk below what
   // runs there.
   std::int64_t idle_cpu_millis() const { return std::max<std::int64_t>(0, free().cpu_millis); }
-  std::uint32_t tasks_of(const job_record& job, std::uint32_t cycle, std::uint32_t step) const;
+  std::uint32_t count_runs_of_step(const job_record& job, std::uint32_t cycle,
+                                   std::uint32_t step) const;
   bool has_label(const std::string& label) const;
 };
 
 // What a task of the step takes of a worker's capacity.
-common::resources room_of(const jobs::step_spec& step);
+common::resources required_resources(const jobs::step_spec& step);
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/ZoneChooser.cpp
+++ b/Source/Core/Scheduling/ZoneChooser.cpp
@@ -69,7 +69,7 @@
   for (const auto& [id, worker] : m_state.workers)
   {
     if (m_state.usable(*worker, now) && worker->slow_until <= now && suits(*worker, job, record))
-      room[worker->info.zone] += tasks_that_fit(room_of(spec), worker->free(), most);
+      room[worker->info.zone] += tasks_that_fit(required_resources(spec), worker->free(), most);
   }
   std::string so_far = zone_so_far(in);
   if (!so_far.empty() && room[so_far] >= wanted)
