--- a/Source/Core/Scheduling/BackgroundLosses.cpp
+++ b/Source/Core/Scheduling/BackgroundLosses.cpp
@@ -8,17 +8,18 @@
 
 namespace yardhill::scheduling
 {
-void background_losses::note(const worker_record& worker, time_point now)
+void background_losses::record_loss(const worker_record& worker, time_point now)
 {
   if (worker.silent_after_start(m_state.options.crash_at_start, now))
     return;
-  m_lost[worker.info.id] = now;
-  std::erase_if(m_lost, [this, now](const auto& each)
+  m_latest_losses[worker.info.id] = now;
+  std::erase_if(m_latest_losses, [this, now](const auto& each)
                 { return now - each.second > m_state.options.background_window; });
 }
 
-// A loss shows as silence first; a worker that stays silent says nothing of the present.
-bool background_losses::lately_silent(const worker_record& worker, time_point now) const
+// A loss shows as silence first. A worker that has been silent for long says nothing about the
+// present rate of losses.
+bool background_losses::recently_silent(const worker_record& worker, time_point now) const
 {
   if (!worker.unresponsive || now - worker.silent_since > m_state.options.background_silence ||
       worker.silent_after_start(m_state.options.crash_at_start, now))
@@ -31,14 +32,14 @@
 bool background_losses::explain_loss_of(const worker_id& worker, time_point now) const
 {
   std::set<worker_id> others;
-  for (const auto& [id, at] : m_lost)
+  for (const auto& [id, at] : m_latest_losses)
   {
     if (id != worker && now - at <= m_state.options.background_window)
       others.insert(id);
   }
   for (const auto& [id, each] : m_state.workers)
   {
-    if (id != worker && lately_silent(*each, now))
+    if (id != worker && recently_silent(*each, now))
       others.insert(id);
   }
   return others.size() >= m_state.options.background_least &&
--- a/Source/Core/Scheduling/CopyWatch.cpp
+++ b/Source/Core/Scheduling/CopyWatch.cpp
@@ -9,18 +9,18 @@
 
 namespace yardhill::scheduling
 {
-bool copy_watch::may_begin(const job_record& job, const task_place& place) const
+bool copy_watch::copy_may_begin(const job_record& job, const task_place& place) const
 {
   const step_record& step = job.cycles()[place.cycle].steps[place.step];
   if (!step.spec->speculative)
     return false;
   const std::vector<run_record*>& runs = step.tasks[place.index].runs;
   return std::any_of(runs.begin(), runs.end(),
-                     [](const run_record* run) { return run->may_begin(); }) ||
+                     [](const run_record* run) { return run->start_unresolved(); }) ||
          m_accounting.may_hold(job, place);
 }
 
-bool copy_watch::any_may_begin(const job_record& job) const
+bool copy_watch::any_copy_may_begin(const job_record& job) const
 {
   for (std::uint32_t c = 0; c < job.cycles().size(); ++c)
   {
@@ -29,7 +29,7 @@
       const std::size_t tasks = job.cycles()[c].steps[s].tasks.size();
       for (std::uint32_t i = 0; i < tasks; ++i)
       {
-        if (may_begin(job, {c, s, i}))
+        if (copy_may_begin(job, {c, s, i}))
           return true;
       }
     }
@@ -37,11 +37,11 @@
   return false;
 }
 
-void copy_watch::note_end(worker_record& worker, const listed_end& end, time_point now)
+void copy_watch::record_end(worker_record& worker, const listed_end& end, time_point now)
 {
   const job_record* const job = m_state.find_job(end.task.job);
-  const bool last = end.how == run_end::done || (end.how == run_end::failed && job->ended());
-  if (!last || !may_begin(*job, end.task.place))
+  const bool final_end = end.how == run_end::done || (end.how == run_end::failed && job->ended());
+  if (!final_end || !copy_may_begin(*job, end.task.place))
     return;
   worker.kept_ends.emplace(end.number, kept_end{end.task, now});
   common::log_request("end_kept", job->id(),
@@ -58,7 +58,7 @@
                 {
                   const kept_end& kept = each.second;
                   const job_record* const job = m_state.find_job(kept.task.job);
-                  if (job != nullptr && may_begin(*job, kept.task.place))
+                  if (job != nullptr && copy_may_begin(*job, kept.task.place))
                     return false;
                   common::log_request("end_free", kept.task.job,
                                       {{"step", kept.task.place.step},
@@ -72,7 +72,7 @@
 
 void copy_watch::complete(job_record& job, time_point now)
 {
-  if (any_may_begin(job))
+  if (any_copy_may_begin(job))
     m_completing.insert(job.id());
   else
     m_state.end_job(job, jobs::job_state::completed, now);
@@ -95,7 +95,7 @@
   {
     job_record* const job = m_state.find_job(*each);
     const bool open = job != nullptr && !job->ended();
-    if (open && any_may_begin(*job))
+    if (open && any_copy_may_begin(*job))
     {
       ++each;
       continue;
--- a/Source/Core/Scheduling/CopyWatch.h
+++ b/Source/Core/Scheduling/CopyWatch.h
@@ -3,12 +3,14 @@
 
 #pragma once
 
-// Tasks that may run in copies: the end of one run is neither acknowledged to its worker nor shown
-// to callers while the start of another run may still be carried out. Such an end is written and
-// counts for placing at once.
+// For tasks of speculative steps, which may run in several copies at once: while the start request
+// of another run of the task may still be carried out, the end of the first run is neither
+// acknowledged to its worker nor shown to callers. The end is written, and used for placement, at
+// once.
 //
-// A start is void once its worker has answered the run's stop, has listed the run or ended it, or
-// its life or the start's lease is over.
+// A start request can no longer be carried out once its worker has answered the run's stop request,
+// has listed the run as running or ended, or once the worker's incarnation has ended or the lease
+// of the start request has expired.
 
 #include <set>
 #include <string>
@@ -26,22 +28,23 @@
   {
   }
 
-  // The worker has listed this end, after which no run of the task may begin.
-  void note_end(worker_record& worker, const listed_end& end, time_point now);
-  // Up to which end the worker may be told to forget its ends.
+  // Keeps the listed end from being acknowledged while another run of the task may still begin.
+  void record_end(worker_record& worker, const listed_end& end, time_point now);
+  // The highest end up to which the worker may be told to forget its ends.
   end_number acknowledgeable(worker_record& worker, time_point now) const;
-  // All tasks of the job are done. It is completed at once, or when no copy may begin any more.
+  // Completes a job of which all tasks are done: at once, or as soon as no copy may begin any more.
   void complete(job_record& job, time_point now);
-  // An earlier owner may have been replaced before it completed its jobs.
+  // Completes the jobs that an earlier owner had not completed before it was replaced, although all
+  // their tasks were done.
   void restored(time_point now);
   void tick(time_point now);
 
 private:
-  bool may_begin(const job_record& job, const task_place& place) const;
-  bool any_may_begin(const job_record& job) const;
+  bool copy_may_begin(const job_record& job, const task_place& place) const;
+  bool any_copy_may_begin(const job_record& job) const;
 
   scheduler_state& m_state;
   const takeover_accounting& m_accounting;
-  std::set<std::string> m_completing; // jobs
+  std::set<std::string> m_completing; // ids of jobs that wait for their copies
 };
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/CrashWatch.cpp
+++ b/Source/Core/Scheduling/CrashWatch.cpp
@@ -13,24 +13,25 @@
 {
 namespace
 {
-// From its second count on, or the first one if that is unclear, a task is tried where nothing else
-// has just begun. If it alone is blamed then, it is given up; if losses before point both ways it
-// takes more of them. The platform's bound is five starts of a task that crashes its workers.
+// From its second counted loss on, a task is tried where nothing else has just begun. If it alone
+// is blamed then, it is given up, unless its earlier losses are ambiguous; then that takes more
+// losses. The platform allows five starts of a task that crashes its workers.
 constexpr std::size_t k_counts_to_isolate = 2;
-constexpr std::size_t k_losses_to_convict = 2;
-constexpr std::size_t k_losses_if_doubtful = 4;
-// Otherwise it takes more counts, since those whose end is unclear may have been lost with a cut.
+constexpr std::size_t k_losses_to_prove = 2;
+constexpr std::size_t k_losses_to_prove_if_ambiguous = 4;
+// Without such a proof it takes more counted losses to give up the task, since runs whose end is
+// unclear may have been lost because their workers were unreachable.
 constexpr std::size_t k_counts_to_give_up = 4;
-constexpr std::size_t k_tries = 5;
-// After so many lost starts two are left.
-constexpr std::size_t k_losses_to_be_decisive = 3;
-// From so many losses by chance on, a task is tried apart as well.
-constexpr std::uint32_t k_chances_to_isolate = 2;
-// Its trial lasts twice as long with each count, so that one that takes longer to crash its worker
-// is found out as well.
-constexpr std::size_t k_most_trial_doublings = 3;
+constexpr std::size_t k_max_lost_starts = 5;
+// After so many lost starts only two are left, and their trials are decisive ones.
+constexpr std::size_t k_lost_starts_before_decisive = 3;
+// After so many losses by chance, a task counts as suspected and is tried in isolation as well.
+constexpr std::uint32_t k_chance_losses_to_isolate = 2;
+// The length of a task's trial doubles with each loss, up to this many times, so that tasks that
+// take longer to crash their workers are found as well.
+constexpr std::size_t k_max_trial_doublings = 3;
 
-bool isolated(const task_record& task)
+bool needs_isolation(const task_record& task)
 {
   const jobs::crash_history& crashes = task.crashes;
   return counts_of(crashes) + crashes.by_chance >= k_counts_to_isolate ||
@@ -43,47 +44,50 @@
     runs.push_back(run);
 }
 
-// How long the run has lived for certain.
-duration lived(const run_record& run)
+// The time from the run's placement until its worker was last heard, which had survived the run for
+// so long.
+duration confirmed_lifetime(const run_record& run)
 {
   return std::max(duration{0}, run.worker->heard_at - run.begun);
 }
 } // namespace
 
-std::string_view crash_watch::to_text(verdict how)
+std::string_view crash_watch::to_text(verdict finding)
 {
   static constexpr std::array<std::string_view, 6> k_names{"blamed_alone",     "blamed_with_others",
                                                            "unclear",          "unanswered",
                                                            "unanswered_alone", "by_chance"};
-  return k_names[static_cast<std::size_t>(how)];
+  return k_names[static_cast<std::size_t>(finding)];
 }
 
-bool crash_watch::convicted(const jobs::crash_history& crashes)
+bool crash_watch::proven_cause(const jobs::crash_history& crashes)
 {
-  // Another run was younger once, nobody knows what was, or others fell as well: it takes more
-  // losses to tell the task from its neighbours and its luck.
-  const bool doubtful = !crashes.unclear.empty() || crashes.by_chance > 0;
-  // Starts without an answer may never have begun.
+  // In some loss another run was younger than the task's, or it is not known which run was, or
+  // other workers were lost as well. Then it takes more losses to tell the task's own effect from
+  // that of the tasks beside it and from chance.
+  const bool ambiguous = !crashes.unclear.empty() || crashes.by_chance > 0;
+  // Runs whose start requests had no answer may never have begun.
   const std::size_t losses = lost_starts(crashes) - crashes.unanswered;
-  return crashes.alone > 0 && losses >= (doubtful ? k_losses_if_doubtful : k_losses_to_convict);
+  return crashes.alone > 0 &&
+         losses >= (ambiguous ? k_losses_to_prove_if_ambiguous : k_losses_to_prove);
 }
 
 bool crash_watch::to_be_given_up(const jobs::crash_history& crashes)
 {
-  return convicted(crashes) || out_of_tries(crashes);
+  return proven_cause(crashes) || out_of_tries(crashes);
 }
 
 bool crash_watch::out_of_tries(const jobs::crash_history& crashes)
 {
   const std::size_t counts = counts_of(crashes);
   if (crashes.blamed.empty())
-    return counts + crashes.unanswered >= k_tries;
-  return counts >= k_counts_to_give_up || lost_starts(crashes) >= k_tries;
+    return counts + crashes.unanswered >= k_max_lost_starts;
+  return counts >= k_counts_to_give_up || lost_starts(crashes) >= k_max_lost_starts;
 }
 
 bool crash_watch::decisive(const task_record& task)
 {
-  return lost_starts(task.crashes) >= k_losses_to_be_decisive;
+  return lost_starts(task.crashes) >= k_lost_starts_before_decisive;
 }
 
 std::size_t counts_of(const jobs::crash_history& crashes)
@@ -98,17 +102,17 @@
 
 bool suspected(const jobs::crash_history& crashes)
 {
-  return counts_of(crashes) > 0 || crashes.by_chance >= k_chances_to_isolate ||
-         lost_starts(crashes) >= k_losses_to_be_decisive;
+  return counts_of(crashes) > 0 || crashes.by_chance >= k_chance_losses_to_isolate ||
+         lost_starts(crashes) >= k_lost_starts_before_decisive;
 }
 
-bool crash_watch::ran_suspect(const worker_record& worker) const
+bool crash_watch::may_have_run_suspected_task(const worker_record& worker) const
 {
   if (!worker.runs.empty())
     return std::any_of(worker.runs.begin(), worker.runs.end(),
                        [](const auto& each)
                        { return suspected(each.second->job->task(each.second->place).crashes); });
-  // What an earlier owner had started there is known by its announcement.
+  // Suspected runs that an earlier owner had started there are known from their announcements.
   if (worker.claimed)
     return false;
   return std::any_of(m_state.open.begin(), m_state.open.end(),
@@ -116,10 +120,10 @@
                      { return m_state.jobs.at(id)->has_suspect_on(worker.info.id.value); });
 }
 
-duration crash_watch::trial_time(const task_record& task) const
+duration crash_watch::trial_duration(const task_record& task) const
 {
   const std::size_t losses = counts_of(task.crashes) + task.crashes.by_chance;
-  const std::size_t doublings = std::min(losses, k_most_trial_doublings);
+  const std::size_t doublings = std::min(losses, k_max_trial_doublings);
   return m_state.options.crash_trial * (1U << doublings);
 }
 
@@ -131,9 +135,9 @@
   return runs;
 }
 
-// The ones that are known to have begun last: what had begun before them had shown for longer that
-// it does no harm. Starts without an answer count as unclear: they may have crashed the worker at
-// once, or have come too late to begin at all.
+// Blames the runs that are known to have begun last: the worker had survived the earlier ones for
+// longer. Runs whose start requests had no answer get a verdict of their own: they may have crashed
+// the worker at once, or their requests may have arrived too late to begin them at all.
 void crash_watch::blame(const worker_record& worker, std::vector<lost_run>& runs,
                         time_point now) const
 {
@@ -141,27 +145,28 @@
   for (const auto& [task, run] : worker.runs)
   {
     if (run->start_answered)
-      youngest = std::min(youngest, lived(*run));
+      youngest = std::min(youngest, confirmed_lifetime(*run));
   }
   std::size_t blamed = 0;
   std::size_t unanswered = 0;
   for (lost_run& each : runs)
   {
     const run_record& run = *worker.runs.at({each.job, each.place});
-    const bool survived = run.spec().long_running && lived(run) >= m_state.options.crash_survived;
+    const bool survived =
+        run.spec().long_running && confirmed_lifetime(run) >= m_state.options.crash_survived;
     if (!run.start_answered)
-      each.how = verdict::unanswered;
-    else if (!survived && lived(run) <= youngest + m_state.options.crash_cluster)
-      each.how = verdict::blamed_with_others;
-    blamed += each.how == verdict::blamed_with_others ? 1 : 0;
-    unanswered += each.how == verdict::unanswered ? 1 : 0;
+      each.finding = verdict::unanswered;
+    else if (!survived && confirmed_lifetime(run) <= youngest + m_state.options.crash_cluster)
+      each.finding = verdict::blamed_with_others;
+    blamed += each.finding == verdict::blamed_with_others ? 1 : 0;
+    unanswered += each.finding == verdict::unanswered ? 1 : 0;
   }
   for (lost_run& each : runs)
   {
-    if (each.how == verdict::blamed_with_others && blamed == 1 && unanswered == 0)
-      each.how = verdict::blamed_alone;
-    if (each.how == verdict::unanswered && blamed == 0 && unanswered == 1)
-      each.how = verdict::unanswered_alone;
+    if (each.finding == verdict::blamed_with_others && blamed == 1 && unanswered == 0)
+      each.finding = verdict::blamed_alone;
+    if (each.finding == verdict::unanswered && blamed == 0 && unanswered == 1)
+      each.finding = verdict::unanswered_alone;
   }
   common::log_process("worker_crashed",
                       {{"worker", worker.info.id.value},
@@ -175,29 +180,29 @@
                                const char* why, time_point now)
 {
   std::vector<lost_run> runs = runs_of(worker);
-  // One whose entry went while it still answered was about to leave.
+  // A worker that still answered after its entry had gone was leaving as planned.
   const bool planned =
       worker.info.draining || (!worker.listed && worker.unlisted_since < worker.heard_at);
-  if (!planned && (worker.claimed || worker.claim) && !ran_suspect(worker))
-    m_background.note(worker, now);
+  if (!planned && (worker.claimed || worker.claim) && !may_have_run_suspected_task(worker))
+    m_background.record_loss(worker, now);
   if (!planned && worker.claimed)
   {
     m_state.metrics.add(common::counter::workers_crashed);
     blame(worker, runs, now);
   }
   m_state.lose_runs(worker, which, why);
-  take_in(worker.info.id, runs, !planned, now);
+  record_losses(worker.info.id, runs, !planned, now);
 }
 
-void crash_watch::leases_over(worker_record& worker, const char* why, time_point now)
+void crash_watch::leases_expired(worker_record& worker, const char* why, time_point now)
 {
   const std::vector<lost_run> runs = runs_of(worker);
   m_state.lose_runs(worker, scheduler_state::lost_runs::all, why);
-  take_in(worker.info.id, runs, true, now);
+  record_losses(worker.info.id, runs, true, now);
 }
 
-void crash_watch::take_in(const worker_id& worker, const std::vector<lost_run>& runs, bool crashed,
-                          time_point now)
+void crash_watch::record_losses(const worker_id& worker, const std::vector<lost_run>& runs,
+                                bool crashed, time_point now)
 {
   for (const lost_run& each : runs)
   {
@@ -209,50 +214,52 @@
     if (announced)
       crashes.take_back();
     mark_possibly_lost(*job, each.place);
-    if (crashed && !each.how && !announced)
+    if (crashed && !each.finding && !announced)
     {
       ++crashes.unjudged;
       m_state.mark_dirty(*job);
     }
-    if (each.how || announced)
-      count(*job, each.place, each.number, worker, each.how.value_or(verdict::unclear), now);
+    if (each.finding || announced)
+      count_loss(*job, each.place, each.number, worker, each.finding.value_or(verdict::unclear),
+                 now);
   }
 }
 
-void crash_watch::count(job_record& job, const task_place& place, run_number run,
-                        const worker_id& worker, verdict how, time_point now)
+void crash_watch::count_loss(job_record& job, const task_place& place, run_number run,
+                             const worker_id& worker, verdict finding, time_point now)
 {
   task_record& task = job.task(place);
   jobs::crash_history& crashes = task.crashes;
-  // In a decisive trial the worker had just answered, and nothing else had begun there.
-  if (how == verdict::unanswered_alone)
-    how = decisive(task) ? verdict::blamed_alone : verdict::unanswered;
-  // Any task would have lost its worker: nobody is given up for that.
+  // In a decisive trial the worker had just answered, and nothing else had begun there, so its loss
+  // is evidence although the start request had no answer.
+  if (finding == verdict::unanswered_alone)
+    finding = decisive(task) ? verdict::blamed_alone : verdict::unanswered;
+  // Any other task would have lost the worker as well, so no task is given up for this loss.
   if (m_background.explain_loss_of(worker, now))
-    how = verdict::by_chance;
-  const bool alone = how == verdict::blamed_alone && isolated(task);
+    finding = verdict::by_chance;
+  const bool alone = finding == verdict::blamed_alone && needs_isolation(task);
   crashes.alone += alone ? 1 : 0;
-  if (how == verdict::by_chance)
+  if (finding == verdict::by_chance)
     ++crashes.by_chance;
-  else if (how == verdict::unanswered)
+  else if (finding == verdict::unanswered)
     ++crashes.unanswered;
   else
-    add_once(how == verdict::unclear ? crashes.unclear : crashes.blamed, run);
+    add_once(finding == verdict::unclear ? crashes.unclear : crashes.blamed, run);
   m_state.mark_dirty(job);
   common::log_request("task_lost_with_worker", job.id(),
                       {{"step", place.step},
                        {"task", place.index},
                        {"run", run},
                        {"worker", worker.value},
-                       {"verdict", to_text(how)},
+                       {"verdict", to_text(finding)},
                        {"blamed", crashes.blamed.size()},
                        {"unclear", crashes.unclear.size()},
                        {"unanswered", crashes.unanswered},
                        {"by_chance", crashes.by_chance},
                        {"unjudged", crashes.unjudged},
                        {"alone", crashes.alone}});
-  if (how != verdict::by_chance)
-    note_loss({{job.id(), place}, run, worker, how, alone, now});
+  if (finding != verdict::by_chance)
+    defer_decision({{job.id(), place}, run, worker, finding, alone, now});
 }
 
 void crash_watch::restored(job_record& job, time_point now)
@@ -265,27 +272,27 @@
       for (std::uint32_t i = 0; i < tasks.size(); ++i)
       {
         if (tasks[i].phase != task_phase::done && to_be_given_up(tasks[i].crashes))
-          note_loss({{job.id(), {c, s, i}}, 0, {}, verdict::unclear, false, now});
+          defer_decision({{job.id(), {c, s, i}}, 0, {}, verdict::unclear, false, now});
       }
     }
   }
 }
 
-void crash_watch::note_loss(const counted_loss& loss)
+void crash_watch::defer_decision(const counted_loss& loss)
 {
   job_record& job = *m_state.find_job(loss.task.job);
   task_record& task = job.task(loss.task.place);
   if (to_be_given_up(task.crashes))
     task.accused_by = loss.run;
-  m_latest.push_back(loss);
+  m_undecided.push_back(loss);
 }
 
 void crash_watch::tick(time_point now)
 {
-  while (!m_latest.empty() && now - m_latest.front().at >= m_state.options.conviction_wait)
+  while (!m_undecided.empty() && now - m_undecided.front().at >= m_state.options.conviction_wait)
   {
-    const counted_loss loss = m_latest.front();
-    m_latest.pop_front();
+    const counted_loss loss = m_undecided.front();
+    m_undecided.pop_front();
     job_record* const job = m_state.find_job(loss.task.job);
     if (job != nullptr && !job->ended())
       decide(*job, loss, now);
@@ -296,7 +303,7 @@
 {
   task_record& task = job.task(loss.task.place);
   if (m_background.explain_loss_of(loss.worker, now))
-    take_for_chance(job, loss);
+    recount_as_chance(job, loss);
   m_state.place_again = true;
   if (task.accused_by != loss.run)
     return;
@@ -305,17 +312,18 @@
     give_up(job, loss.task.place, now);
 }
 
-// Others have fallen with the worker, which was not known when its loss was counted.
-void crash_watch::take_for_chance(job_record& job, const counted_loss& loss)
+// Recounts a loss as one by chance, since other workers were lost with this one, which was not
+// known when the loss was counted.
+void crash_watch::recount_as_chance(job_record& job, const counted_loss& loss)
 {
   jobs::crash_history& crashes = job.task(loss.task.place).crashes;
   const std::size_t counted = counts_of(crashes) + crashes.unanswered;
   std::erase(crashes.blamed, loss.run);
   std::erase(crashes.unclear, loss.run);
-  if (loss.how == verdict::unanswered && crashes.unanswered > 0)
+  if (loss.finding == verdict::unanswered && crashes.unanswered > 0)
     --crashes.unanswered;
   if (counts_of(crashes) + crashes.unanswered == counted)
-    return; // the task has been cleared meanwhile
+    return; // the task's history has been cleared since
   crashes.alone -= loss.alone && crashes.alone > 0 ? 1 : 0;
   ++crashes.by_chance;
   m_state.mark_dirty(job);
@@ -334,7 +342,7 @@
   m_state.end_job(job, jobs::job_state::failed, now);
 }
 
-void crash_watch::run_told(job_record& job, const task_place& place, run_number run)
+void crash_watch::run_outcome_known(job_record& job, const task_place& place, run_number run)
 {
   jobs::crash_history& crashes = job.task(place).crashes;
   if (crashes.announced != run || job.ended())
@@ -343,9 +351,9 @@
   m_state.mark_dirty(job);
 }
 
-// A task that lasts may see many workers crash in its time. Once it has run on for this long it has
-// nothing to do with earlier crashes.
-void crash_watch::run_heard(run_record& run, time_point now)
+// A long-running task may see many workers crash in its time. Once one of its runs has gone on for
+// `crash_survived`, the task is taken to have nothing to do with earlier crashes.
+void crash_watch::run_still_running(run_record& run, time_point now)
 {
   task_record& task = run.job->task(run.place);
   if (!run.spec().long_running || !(task.lost || task.crashes.any()) ||
@@ -377,7 +385,7 @@
   m_state.mark_dirty(job);
 }
 
-void crash_watch::released(job_record& job, const task_place& place, earlier_worker_status fate,
+void crash_watch::released(job_record& job, const task_place& place, earlier_worker_status status,
                            time_point now)
 {
   jobs::crash_history& crashes = job.task(place).crashes;
@@ -387,10 +395,11 @@
   const worker_id worker(crashes.announced_on);
   crashes.take_back();
   m_state.mark_dirty(job);
-  if (fate != earlier_worker_status::heard)
-    count(job, place, run, worker,
-          fate == earlier_worker_status::ended ? verdict::blamed_with_others : verdict::unclear,
-          now);
+  if (status != earlier_worker_status::heard)
+    count_loss(job, place, run, worker,
+               status == earlier_worker_status::ended ? verdict::blamed_with_others
+                                                      : verdict::unclear,
+               now);
 }
 
 bool crash_watch::may_start(job_record& job, const task_place& place, run_number run,
@@ -416,20 +425,20 @@
 
 bool crash_watch::postponed(const task_record& task, time_point now) const
 {
-  return task.accused_by || (isolated(task) && m_background.high(now));
+  return task.accused_by || (needs_isolation(task) && m_background.high(now));
 }
 
-bool crash_watch::steady(const worker_record& worker, time_point now) const
+bool crash_watch::stable(const worker_record& worker, time_point now) const
 {
   return worker.first_seen + m_state.options.steady_life <= now;
 }
 
-bool crash_watch::heard_lately(const worker_record& worker, time_point now) const
+bool crash_watch::heard_recently(const worker_record& worker, time_point now) const
 {
   return now - worker.heard_at <= std::max(m_state.options.fresh_lists, m_state.order_patience);
 }
 
-duration crash_watch::patience(const task_record& task) const
+duration crash_watch::trial_wait_limit(const task_record& task) const
 {
   const scheduler_options& options = m_state.options;
   return options.crash_trial_patience + (decisive(task) ? options.crash_trial : duration{0});
@@ -437,38 +446,38 @@
 
 bool crash_watch::fit(const worker_record& worker, const task_record& task, time_point now) const
 {
-  // Nothing else begins beside an isolated trial.
+  // No other task begins on a worker with an isolated trial, or on one that is kept for one.
   if (worker.isolated_until > now && worker.kept_for_trial != &task)
     return false;
   if (!suspected(task.crashes))
     return true;
-  // Where there has been no better worker for long, any will do.
-  if (task.trial_wanted && now - *task.trial_wanted >= patience(task))
+  // If no worker has been fit for so long, any worker is.
+  if (task.trial_wanted && now - *task.trial_wanted >= trial_wait_limit(task))
     return true;
   if (worker.trial_until > now)
     return false;
-  if (!isolated(task))
+  if (!needs_isolation(task))
     return true;
-  const bool quiet = worker.latest_start + m_state.options.crash_trial <= now;
+  const bool nothing_just_begun = worker.latest_start + m_state.options.crash_trial <= now;
   if (decisive(task))
-    return quiet && steady(worker, now) && heard_lately(worker, now);
-  return quiet && (task.crashes.by_chance == 0 || steady(worker, now));
+    return nothing_just_begun && stable(worker, now) && heard_recently(worker, now);
+  return nothing_just_begun && (task.crashes.by_chance == 0 || stable(worker, now));
 }
 
 bool crash_watch::can_become_fit(const worker_record& worker, const task_record& task,
                                  time_point now) const
 {
   return !decisive(task) ||
-         (steady(worker, now) && (worker.isolated_until <= now || worker.kept_for_trial == &task));
+         (stable(worker, now) && (worker.isolated_until <= now || worker.kept_for_trial == &task));
 }
 
 void crash_watch::keep_for_trial(worker_record& worker, const task_record& task,
                                  time_point now) const
 {
-  if (!isolated(task) || worker.isolated_until > now)
+  if (!needs_isolation(task) || worker.isolated_until > now)
     return;
   worker.kept_for_trial = &task;
-  worker.isolated_until = now + patience(task);
+  worker.isolated_until = now + trial_wait_limit(task);
 }
 
 bool crash_watch::keeps_worker_for(const task_record& task, time_point now) const
@@ -479,7 +488,7 @@
     if (worker->kept_for_trial != &task || worker->isolated_until <= now)
       continue;
     kept = true;
-    worker->hold_requested |= decisive(task) && !heard_lately(*worker, now);
+    worker->hold_requested |= decisive(task) && !heard_recently(*worker, now);
   }
   return kept;
 }
@@ -491,8 +500,8 @@
   if (!suspected(task.crashes))
     return;
   worker.trial = &run;
-  worker.trial_until = std::max(worker.trial_until, now + trial_time(task));
-  if (isolated(task))
-    worker.isolated_until = std::max(worker.isolated_until, now + trial_time(task));
+  worker.trial_until = std::max(worker.trial_until, now + trial_duration(task));
+  if (needs_isolation(task))
+    worker.isolated_until = std::max(worker.isolated_until, now + trial_duration(task));
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/CrashWatch.h
+++ b/Source/Core/Scheduling/CrashWatch.h
@@ -3,21 +3,23 @@
 
 #pragma once
 
-// Tasks that crash the workers that start them: which runs are blamed for a crash, where and how a
-// suspected task is tried again, and when it is given up with its job.
+// Finds the tasks that crash the workers on which they start: which runs are blamed for a crash,
+// where and how a suspected task is tried again, and when the task is given up with its job.
 //
-// A crashed worker lists no end of what ran there, so two things are counted. Blamed runs: the ones
-// that had begun last when the worker was heard last; others had shown that they do no harm.
-// Unclear ones: announced runs that were not blamed. A run is announced in the job's row, with its
-// worker, if its task has lost a run before, so that no change of owner loses count.
+// A crashed worker does not list how its runs ended, so two kinds of lost runs are counted. Blamed
+// runs are the ones that had begun last when the worker was last heard; the others had proved to be
+// harmless. Unclear runs are announced runs that were not blamed. A run is announced in the job's
+// row, together with its worker, if its task has lost a run before, so that the count survives each
+// change of the owner.
 //
-// What tells the guilty from its neighbours: a suspected task is kept apart from others, and from
-// its second count on it is tried where nothing else has just begun and nothing else begins. A loss
-// among many others counts as chance, and the next trial waits until they are over.
+// To tell the task that causes crashes from the tasks beside it, a suspected task is kept apart
+// from other suspected ones. From its second counted loss on it is tried where nothing else has
+// just begun, and nothing else begins during the trial. A loss among many others counts as chance,
+// and the next trial waits until these losses are over.
 //
-// The verdicts tell who is guilty; how often a task is started is bounded by its lost starts,
-// whatever their verdicts. So its last tries are decisive: each waits for a worker where only the
-// task can be the cause of a loss.
+// The verdicts decide which task is the cause of crashes. How often a task is started is bounded by
+// its lost starts, whatever their verdicts. So its last trials are decisive: each waits for a
+// worker where only this task can be the cause of a loss.
 
 #include <deque>
 #include <string_view>
@@ -32,123 +34,134 @@
 public:
   explicit crash_watch(scheduler_state& state) : m_state(state), m_background(state) {}
 
-  // The worker's life is known to have ended; what ran there is lost with it. A planned end is no
-  // crash.
+  // The worker's incarnation is known to have ended, and its runs are lost. A planned end does not
+  // count as a crash.
   void worker_ended(worker_record& worker, scheduler_state::lost_runs which, const char* why,
                     time_point now);
-  // Nothing can run there any more, as its leases are over; whether it has crashed is not known.
-  void leases_over(worker_record& worker, const char* why, time_point now);
-  // An earlier owner may have been replaced before it gave up what it had convicted.
+  // Nothing can run on the worker any more, as its leases have expired. Whether it has crashed is
+  // not known.
+  void leases_expired(worker_record& worker, const char* why, time_point now);
+  // Gives up what an earlier owner had reason to give up, if it was replaced before it could.
   void restored(job_record& job, time_point now);
-  // Decides what the losses of a moment ago say.
+  // Decides about losses once others that happened at the same time have had time to be noticed.
   void tick(time_point now);
-  // How the run ended is known, or that it never began.
-  void run_told(job_record& job, const task_place& place, run_number run);
-  // The run goes on.
-  void run_heard(run_record& run, time_point now);
-  // What is known of the worker that an announced run of an earlier owner was meant for.
+  // It is known how the run ended, or that it never began.
+  void run_outcome_known(job_record& job, const task_place& place, run_number run);
+  // The worker has listed the run as running.
+  void run_still_running(run_record& run, time_point now);
+  // What is known of the worker for which an earlier owner had announced a run.
   enum class earlier_worker_status
   {
-    heard, // the run is not there
-    ended, // its life is over
-    unheard
+    heard,  // it has listed its runs, and the announced one is not among them
+    ended,  // its incarnation has ended
+    unheard // it had not answered when its leases expired
   };
-  // A run of the task may have been lost with its worker. This is written before the worker's claim
-  // goes, which is all that tells a later owner of it.
+  // Marks that a run of the task may have been lost with its worker. The mark is written before the
+  // worker's claim is removed, which is the only other thing that tells a later owner of the loss.
   void mark_possibly_lost(job_record& job, const task_place& place);
-  // The same of a run of an earlier owner that need not have been announced.
+  // Marks the same for a run of an earlier owner that need not have been announced. The loss counts
+  // as unjudged if no run is announced and no loss has been counted.
   void count_unjudged_loss(job_record& job, const task_place& place);
-  // An earlier owner's task waits again, and an announced run of it has not been heard of.
-  void released(job_record& job, const task_place& place, earlier_worker_status fate,
+  // A task of an earlier owner waits again, and its announced run, if there is one, has not been
+  // listed by any worker. The run counts as lost unless its worker was heard.
+  void released(job_record& job, const task_place& place, earlier_worker_status status,
                 time_point now);
 
-  // Whether that run may be started there now: a suspected one only once its announcement is
-  // written, which is brought about. One that has lost a run before, or starts beside one on a
-  // silent worker, is announced as it starts.
+  // Whether the run may be started on the worker now. The run of a suspected task may start only
+  // once its announcement is written, which this call requests. If the task has lost a run before,
+  // or another run of it is on a silent worker (`beside_silent`), the run is announced as it
+  // starts.
   bool may_start(job_record& job, const task_place& place, run_number run,
                  const worker_record& worker, bool beside_silent);
-  // Whether its next run waits for its announcement to be written.
+  // Whether the task's next run waits for its announcement to be written.
   static bool awaits_announcement(const task_record& task);
-  // Whether the task may be tried there at this moment, as far as crashes go.
+  // Whether the task may start on the worker at this moment, as far as crashes are concerned.
   bool fit(const worker_record& worker, const task_record& task, time_point now) const;
-  // Whether it will be fit if nothing else begins there for a while.
+  // Whether the worker becomes fit for the task if nothing else begins there for a while.
   bool can_become_fit(const worker_record& worker, const task_record& task, time_point now) const;
-  // Whether it is started nowhere for now: its trial waits until workers are no longer lost anyway,
-  // or it is about to be given up.
+  // Whether the task may start nowhere for now, because its trial waits until few workers are lost
+  // for other reasons, or because the task is about to be given up.
   bool postponed(const task_record& task, time_point now) const;
-  // Nothing begins on the worker for a while, so that it becomes fit for the task's trial.
+  // Lets nothing else begin on the worker for a while, so that it becomes fit for the task's trial.
   void keep_for_trial(worker_record& worker, const task_record& task, time_point now) const;
-  // Whether a worker is kept for its trial. A decisive trial needs one that has answered just now,
-  // so it is asked.
+  // Whether a worker is kept for the task's trial. A decisive trial needs a worker that has
+  // answered just now, so the kept ones are asked.
   bool keeps_worker_for(const task_record& task, time_point now) const;
-  // Whether the task's next trial has to be a decisive one.
+  // Whether the task has so few starts left that its next trial has to be a decisive one.
   static bool decisive(const task_record& task);
-  // What else may begin beside the run, if its task is suspected.
+  // If the run's task is suspected, restricts what else may begin on the worker during its trial.
   void mark_trial(run_record& run, time_point now) const;
 
 private:
-  // What a loss says of the run's task.
+  // What the loss of a worker shows about the task of one of its runs.
   enum class verdict
   {
     blamed_alone,
     blamed_with_others,
     unclear,
     unanswered,
-    unanswered_alone, // nothing else had begun there lately
+    unanswered_alone, // nothing else had begun on the worker recently
     by_chance
   };
 
-  // A run that was lost with its worker. Without a verdict it had shown that it does no harm.
+  // A run that was lost with its worker. It has no verdict if it had proved to be harmless, or if
+  // it is not known whether the worker crashed.
   struct lost_run
   {
     std::string job;
     task_place place;
     run_number number = 0;
-    std::optional<verdict> how = std::nullopt;
+    std::optional<verdict> finding = std::nullopt;
   };
 
-  static std::string_view to_text(verdict how);
-  // A trial alone has shown it.
-  static bool convicted(const jobs::crash_history& crashes);
-  // It is too often lost with its worker, whatever the cause.
+  static std::string_view to_text(verdict finding);
+  // Whether the losses, one of them in an isolated trial, prove that the task crashes its workers.
+  static bool proven_cause(const jobs::crash_history& crashes);
+  // Whether the task was lost with its workers so often that it is not tried again, whatever the
+  // cause.
   static bool out_of_tries(const jobs::crash_history& crashes);
   static bool to_be_given_up(const jobs::crash_history& crashes);
 
-  // A loss that was counted against a task. Others that fell at the same time may be noticed later.
+  // A loss that was counted against a task and is not decided yet: it may turn out to be one by
+  // chance when the losses of other workers at the same time are noticed.
   struct counted_loss
   {
     task_ref task;
     run_number run = 0;
     worker_id worker;
-    verdict how = verdict::unclear;
-    bool alone = false;
+    verdict finding = verdict::unclear;
+    bool alone = false; // counted in crash_history::alone
     time_point at;
   };
 
-  void note_loss(const counted_loss& loss);
+  void defer_decision(const counted_loss& loss);
   void decide(job_record& job, const counted_loss& loss, time_point now);
-  void take_for_chance(job_record& job, const counted_loss& loss);
+  void recount_as_chance(job_record& job, const counted_loss& loss);
   std::vector<lost_run> runs_of(const worker_record& worker) const;
-  // Whether a task that was suspected already may have crashed it.
-  bool ran_suspect(const worker_record& worker) const;
+  // Whether a task that was suspected already may have crashed the worker, as it may have been
+  // running there.
+  bool may_have_run_suspected_task(const worker_record& worker) const;
+  // Sets the verdicts on the runs of a worker that has crashed.
   void blame(const worker_record& worker, std::vector<lost_run>& runs, time_point now) const;
-  // `crashed`: the worker's end was not planned, as far as is known.
-  void take_in(const worker_id& worker, const std::vector<lost_run>& runs, bool crashed,
-               time_point now);
-  // A run was lost with the worker.
-  void count(job_record& job, const task_place& place, run_number run, const worker_id& worker,
-             verdict how, time_point now);
+  // Counts the lost runs against their tasks. `crashed`: the worker's end was not planned, as far
+  // as is known.
+  void record_losses(const worker_id& worker, const std::vector<lost_run>& runs, bool crashed,
+                     time_point now);
+  // Counts a run that was lost with the worker.
+  void count_loss(job_record& job, const task_place& place, run_number run, const worker_id& worker,
+                  verdict finding, time_point now);
   void give_up(job_record& job, const task_place& place, time_point now);
-  // Where workers were lost by chance, a young life tells less.
-  bool steady(const worker_record& worker, time_point now) const;
-  // How long the task waits for a worker that is fit for its trial, before any will do.
-  duration patience(const task_record& task) const;
-  bool heard_lately(const worker_record& worker, time_point now) const;
+  // Whether the worker's incarnation is old enough for a trial. Where workers were lost by chance,
+  // the loss of a young one is weaker evidence.
+  bool stable(const worker_record& worker, time_point now) const;
+  // How long the task waits for a worker that is fit for its trial. After that any worker is.
+  duration trial_wait_limit(const task_record& task) const;
+  bool heard_recently(const worker_record& worker, time_point now) const;
   // How long after its start a suspected run may still crash its worker.
-  duration trial_time(const task_record& task) const;
+  duration trial_duration(const task_record& task) const;
 
   scheduler_state& m_state;
   background_losses m_background;
-  std::deque<counted_loss> m_latest; // in the order of their times
+  std::deque<counted_loss> m_undecided; // ordered by time
 };
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/RunTracker.cpp
+++ b/Source/Core/Scheduling/RunTracker.cpp
@@ -27,7 +27,7 @@
     return;
   m_state.note_order(*worker, answer.end != call_end::unanswered, now);
   run_record* const run = m_state.find_run(answer.worker, answer.task, answer.run);
-  // Which life has answered the start of an orphan is not told.
+  // The answer to a start request does not show which incarnation sent it.
   if (run == nullptr || run->orphaned)
     return;
   run->answers += answer.end == call_end::unanswered ? 0 : 1;
@@ -43,11 +43,11 @@
     m_state.metrics.add(common::retry_reason::start_unclear);
     return;
   default:
-    start_refused(*run, answer.end, now);
+    handle_refused_start(*run, answer.end, now);
   }
 }
 
-void run_tracker::start_refused(run_record& run, call_end end, time_point now)
+void run_tracker::handle_refused_start(run_record& run, call_end end, time_point now)
 {
   worker_record& worker = *run.worker;
   m_state.metrics.add(common::retry_reason::start_refused);
@@ -64,16 +64,17 @@
     worker.avoid_until = now + m_state.options.unhealthy_pause;
   if (end == call_end::bad_ticket)
     run.job->step(run.place).permits.tickets.erase(worker.info.id);
-  // Of a start that was sent more than once an earlier copy may have been carried out; the
-  // worker's lists will tell. Its run has even ended if the number is out of date now.
+  // If the start request was sent more than once, an earlier copy may have been carried out, which
+  // the worker's lists will show. If the run number is outdated, the run has even ended.
   if (run.sends > 1 && end != call_end::unhealthy)
   {
-    // That one copy came too late says nothing of a later one with a later end.
-    const bool stays =
+    // Copies of a speculative task's start carry different lease ends, so one that came too late
+    // says nothing about a later one.
+    const bool permanent =
         end == call_end::bad_ticket || (end == call_end::too_late && !run.spec().speculative);
-    if (stays && !run.start_void)
-      run.start_void = now;
-    worker.hold_requested |= stays || end == call_end::outdated;
+    if (permanent && !run.start_voided_at)
+      run.start_voided_at = now;
+    worker.hold_requested |= permanent || end == call_end::outdated;
     return;
   }
   if (run.sends > 1 || run.phase == run_phase::stopping)
@@ -83,9 +84,9 @@
   const run_number number = run.number;
   const bool gang = run.spec().gang;
   m_state.remove_run(run);
-  m_crashes.run_told(job, place, number);
+  m_crashes.run_outcome_known(job, place, number);
   if (gang)
-    break_gang(job, place, number, now);
+    stop_gang(job, place, number, now);
 }
 
 void run_tracker::on_stop(const stop_answer& answer, time_point now)
@@ -118,7 +119,7 @@
       foreign.insert({listed.task, listed.run});
   }
   worker.foreign = std::move(foreign);
-  drop_missing(worker, answer, now);
+  remove_missing_runs(worker, answer, now);
 }
 
 void run_tracker::apply_end(worker_record& worker, const listed_end& end, time_point now)
@@ -126,8 +127,8 @@
   job_record* const job = m_state.find_job(end.task.job);
   if (job == nullptr || !job->contains(end.task.place))
     return;
-  note_failures(worker, end, now);
-  m_crashes.run_told(*job, end.task.place, end.run);
+  update_failure_count(worker, end, now);
+  m_crashes.run_outcome_known(*job, end.task.place, end.run);
   job->note_begun();
   task_record& task = job->task(end.task.place);
   task.last_run = std::max(task.last_run, end.run);
@@ -143,14 +144,14 @@
                          {"how", to_text(end.how)},
                          {"failures", task.failed_runs.size()},
                          {"checkpoint", !end.checkpoint.empty()}});
-  // It is removed first: what is stopped below is what still runs.
+  // This run is removed first, so that only runs that still go on are stopped below.
   if (run_record* const run = m_state.find_run(worker.info.id, end.task, end.run))
   {
     if (end.how == run_end::done && !run->spec().gang && worker.slow_until <= now)
       m_state.runtimes.learn(job->accepted().queue, run->spec().estimate, now - run->begun);
     m_state.remove_run(*run);
   }
-  // A job that has ended stays as it is; its last runs only give their room back.
+  // The state of an ended job does not change; its last runs only release their resources.
   if (!job->ended())
   {
     m_state.mark_dirty(*job);
@@ -159,23 +160,23 @@
     if (end.how == run_end::failed)
       task_failed(*job, end, now);
   }
-  m_copies.note_end(worker, end, now);
+  m_copies.record_end(worker, end, now);
   if (end.how == run_end::done)
     check_complete(*job, now);
 }
 
-void run_tracker::note_failures(worker_record& worker, const listed_end& end, time_point now)
+void run_tracker::update_failure_count(worker_record& worker, const listed_end& end, time_point now)
 {
   if (end.how == run_end::done)
-    worker.failures_in_a_row = 0;
+    worker.consecutive_failures = 0;
   if (end.how != run_end::failed)
     return;
-  ++worker.failures_in_a_row;
-  if (worker.failures_in_a_row < m_state.options.failures_to_pause)
+  ++worker.consecutive_failures;
+  if (worker.consecutive_failures < m_state.options.failures_to_pause)
     return;
   worker.avoid_until = now + m_state.options.failing_pause;
   common::log_process("worker_paused", {{"worker", worker.info.id.value},
-                                        {"failures_in_a_row", worker.failures_in_a_row}});
+                                        {"failures_in_a_row", worker.consecutive_failures}});
 }
 
 void run_tracker::task_done(job_record& job, const task_place& place, time_point now)
@@ -184,7 +185,7 @@
   if (step.spec->long_running)
     return;
   m_state.metrics.add(common::counter::tasks_done);
-  // One end of a gang's member stands for all of them.
+  // The end of one member as done counts for the whole gang.
   const std::uint32_t first = step.spec->gang ? 0 : place.index;
   const std::uint32_t last = step.spec->gang ? step.spec->count - 1 : place.index;
   for (std::uint32_t index = first; index <= last; ++index)
@@ -204,11 +205,11 @@
   step_record& step = job.step(end.task.place);
   m_state.metrics.add(common::retry_reason::attempt_failed);
   // A gang's failures are counted at its first member.
-  task_place counted = end.task.place;
+  task_place counted_place = end.task.place;
   if (step.spec->gang)
-    counted.index = 0;
-  task_record& task = job.task(counted);
-  // Tasks that last are started again however often they fail.
+    counted_place.index = 0;
+  task_record& task = job.task(counted_place);
+  // A long-running task is started again however often it fails.
   const bool counted_already = std::find(task.failed_runs.begin(), task.failed_runs.end(),
                                          end.run) != task.failed_runs.end();
   if (task.phase == task_phase::done || step.spec->long_running || counted_already)
@@ -220,11 +221,11 @@
     return;
   }
   if (step.spec->gang)
-    break_gang(job, end.task.place, end.run, now);
+    stop_gang(job, end.task.place, end.run, now);
 }
 
-void run_tracker::break_gang(job_record& job, const task_place& place, run_number number,
-                             time_point now)
+void run_tracker::stop_gang(job_record& job, const task_place& place, run_number number,
+                            time_point now)
 {
   for (task_record& task : job.step(place).tasks)
   {
@@ -253,7 +254,7 @@
       run.start_answered = now;
     if (run.phase == run_phase::starting)
       run.phase = run_phase::running;
-    m_crashes.run_heard(run, now);
+    m_crashes.run_still_running(run, now);
     return;
   }
   job_record* const job = m_state.find_job(listed.task.job);
@@ -263,7 +264,7 @@
   if (phase == task_phase::waiting || phase == task_phase::unaccounted)
     take_over_run(worker, *job, listed, now);
   else
-    stop_foreign(worker, listed, now);
+    stop_unwanted_run(worker, listed, now);
 }
 
 void run_tracker::take_over_run(worker_record& worker, job_record& job, const listed_run& listed,
@@ -284,7 +285,7 @@
                        {"worker", worker.info.id.value}});
 }
 
-void run_tracker::stop_foreign(worker_record& worker, const listed_run& listed, time_point now)
+void run_tracker::stop_unwanted_run(worker_record& worker, const listed_run& listed, time_point now)
 {
   common::log_request("unwanted_run_stopped", listed.task.job,
                       {{"step", listed.task.place.step},
@@ -296,8 +297,9 @@
         stop_command{worker.info.id, worker.info.address, listed.task, listed.run, worker.token});
 }
 
-// Runs that the lists should show and do not.
-void run_tracker::drop_missing(worker_record& worker, const hold_answer& answer, time_point now)
+// Removes the runs that the lists should show but do not.
+void run_tracker::remove_missing_runs(worker_record& worker, const hold_answer& answer,
+                                      time_point now)
 {
   const auto listed = [&answer](const task_ref& task, run_number run)
   {
@@ -312,9 +314,10 @@
       continue;
     const bool started_before = run->start_answered && *run->start_answered < answer.sent;
     const bool stopped_before = run->stop_answered && *run->stop_answered < answer.sent;
-    const bool start_void = run->start_void && *run->start_void <= answer.sent;
-    // Lists of a life that is claimed show all that it will ever carry out of what was sent before.
-    if (run->orphaned || started_before || stopped_before || start_void)
+    const bool voided_before = run->start_voided_at && *run->start_voided_at <= answer.sent;
+    // The lists of a claimed incarnation show every request to earlier incarnations that it will
+    // ever carry out, so an orphaned run that is not listed will not begin.
+    if (run->orphaned || started_before || stopped_before || voided_before)
       missing.push_back(run.get());
   }
   for (run_record* run : missing)
@@ -332,9 +335,9 @@
     const run_number number = run->number;
     const bool gang = run->spec().gang;
     m_state.remove_run(*run);
-    m_crashes.run_told(job, place, number);
+    m_crashes.run_outcome_known(job, place, number);
     if (gang)
-      break_gang(job, place, number, now);
+      stop_gang(job, place, number, now);
   }
 }
 
@@ -357,27 +360,28 @@
       if (run->phase == run_phase::stopping && !run->stop_answered)
         m_state.order_stop(*run, now);
       else if (run->phase == run_phase::starting)
-        repeat_start(*run, now);
+        resend_start(*run, now);
     }
   }
 }
 
-void run_tracker::repeat_start(run_record& run, time_point now)
+void run_tracker::resend_start(run_record& run, time_point now)
 {
   worker_record& worker = *run.worker;
-  if (worker.unresponsive || run.orphaned || run.start_answered || run.start_void)
+  if (worker.unresponsive || run.orphaned || run.start_answered || run.start_voided_at)
     return;
-  // Holds may have extended the lease for which the worker would take an earlier copy, so its end
-  // alone does not void them.
+  // Holds may have extended the worker's lease, so that it would still accept an earlier copy. That
+  // the lease of the request has expired therefore does not rule these out, and the run is stopped.
   if (worker.clock_at(now) >= run.start_expires)
   {
     m_state.order_stop(run, now);
     return;
   }
-  // A copy would be rejected, and so would an earlier one that comes now.
+  // The ticket has expired: another copy would be rejected, and so would an earlier one that
+  // arrives now.
   if (run.ticket_over && *run.ticket_over <= now)
   {
-    run.start_void = now;
+    run.start_voided_at = now;
     worker.hold_requested = true;
     return;
   }
--- a/Source/Core/Scheduling/WorkerHolder.cpp
+++ b/Source/Core/Scheduling/WorkerHolder.cpp
@@ -11,15 +11,16 @@
 {
 namespace
 {
-// The one that waits for news, and one that asks at once. Each holds a connection of the worker.
-constexpr unsigned k_most_holds = 2;
+// One hold that waits at the worker for an update, and one that is answered at once. Each occupies
+// one of the worker's connections.
+constexpr unsigned k_max_holds_in_flight = 2;
 } // namespace
 
-worker_holder::worker_holder(scheduler_state& state, crash_watch& crashes, run_tracker& follower,
+worker_holder::worker_holder(scheduler_state& state, crash_watch& crashes, run_tracker& tracker,
                              takeover_accounting& accounting, copy_watch& copies)
     : m_state(state),
       m_crashes(crashes),
-      m_follower(follower),
+      m_run_tracker(tracker),
       m_accounting(accounting),
       m_copies(copies)
 {
@@ -33,7 +34,7 @@
   slot->number = ++m_state.lives;
   slot->first_seen = now;
   slot->token = m_state.newest_token;
-  // Unless it says otherwise, an earlier owner may still have runs there.
+  // Until the worker's lists show otherwise, runs of an earlier owner may still be there.
   slot->lease_end = m_state.earlier_end;
   return *slot;
 }
@@ -59,42 +60,45 @@
 void worker_holder::on_entry(const worker_info& info, time_point now)
 {
   worker_record* const known = m_state.find_worker(info.id);
-  const bool news = known == nullptr;
-  worker_record& worker = news ? new_record(info.id, now) : *known;
+  const bool added = known == nullptr;
+  worker_record& worker = added ? new_record(info.id, now) : *known;
   const bool was_draining = worker.info.draining;
   const bool was_listed = worker.listed;
   worker.listed = true;
   worker.entry_valid = true;
   worker.over = false;
   m_state.place_again = true;
-  // Clocks jump, and an entry may be a late one or another writer's, so it does not tell which life
-  // is there: the worker is asked, and nothing new is meant for it until its entry is its own.
+  // An entry does not prove which incarnation is there: clocks jump, and the entry may have arrived
+  // late or come from another writer. So the worker is asked, and nothing new is placed on it until
+  // the entry is that of the incarnation that answers.
   if (worker.known && info.born != worker.born)
   {
-    worker.hold_requested |= !worker.other_entry || worker.other_entry->born != info.born;
-    worker.other_entry = info;
+    worker.hold_requested |=
+        !worker.conflicting_entry || worker.conflicting_entry->born != info.born;
+    worker.conflicting_entry = info;
     return;
   }
   worker.info = info;
-  worker.other_entry.reset();
-  if (news)
-    ask_others_at(info);
-  if (news || was_draining != info.draining || !was_listed)
+  worker.conflicting_entry.reset();
+  if (added)
+    probe_others_at(info);
+  if (added || was_draining != info.draining || !was_listed)
     common::log_process("worker_entry", {{"worker", info.id.value},
                                          {"rack", info.rack},
                                          {"cpu_millis", info.capacity.cpu_millis},
                                          {"memory_mib", info.capacity.memory_mib},
                                          {"draining", info.draining},
-                                         {"new", news}});
-  if (!worker.claimed && worker.holds_under_way == 0)
+                                         {"new", added}});
+  if (!worker.claimed && worker.holds_in_flight == 0)
     hold(worker, now);
 }
 
-// Of two lives with one address only one is still there, and their entries do not tell which: a
-// worker behind a cut writes its last entry when the cut heals, after its next life's first one.
-// Starting the tasks of the one with the older entry elsewhere had them run in two places. The call
-// itself tells, within a round trip: it is answered by the life that it is meant for, or rejected.
-void worker_holder::ask_others_at(const worker_info& info)
+// Of two workers with the same address only one is still there, and their entries do not tell
+// which: an isolated worker writes its last entry when its connection returns, after the first
+// entry of its successor. Starting the tasks of the worker with the older entry elsewhere made them
+// run in two places. A call to the address tells within a round trip: the worker for which it is
+// meant answers it, any other one rejects it.
+void worker_holder::probe_others_at(const worker_info& info)
 {
   for (auto& [id, worker] : m_state.workers)
   {
@@ -109,8 +113,8 @@
   if (worker == nullptr)
     return;
   worker->listed = false;
-  worker->other_entry.reset();
-  worker->heard_unlisted = false;
+  worker->conflicting_entry.reset();
+  worker->answers_unlisted = false;
   worker->unlisted_since = now;
   if (worker->claimed && !worker->info.draining)
   {
@@ -122,28 +126,29 @@
                                             {"lease_left_ms", worker->lease_end - now}});
 }
 
-void worker_holder::life_ended(worker_record& worker, scheduler_state::lost_runs which,
-                               const char* why, time_point now)
+void worker_holder::end_incarnation(worker_record& worker, scheduler_state::lost_runs which,
+                                    const char* why, time_point now)
 {
   if (!worker.claimed && worker.claim && !worker.info.draining)
     m_accounting.life_ended(worker.info.id, now);
   m_crashes.worker_ended(worker, which, why, now);
-  begin_life(worker, now);
+  begin_incarnation(worker, now);
 }
 
-void worker_holder::begin_life(worker_record& worker, time_point now)
+void worker_holder::begin_incarnation(worker_record& worker, time_point now)
 {
-  // Calls to the life before may reach this one, seconds late, with leases and acknowledgements of
-  // that one: it has to have seen a token that none of them bears.
-  const bool ordered = worker.claimed;
-  worker.begin_life(++m_state.lives);
+  // Calls to the earlier incarnation may reach the new one seconds late, with leases and
+  // acknowledgements that were meant for the earlier one. So the new one has to see a higher token
+  // than they carry.
+  const bool predecessor_claimed = worker.claimed;
+  worker.begin_incarnation(++m_state.lives);
   worker.first_seen = now;
   m_state.forget_tickets(worker.info.id);
   m_state.place_again = true;
-  if (!ordered)
+  if (!predecessor_claimed)
     return;
-  worker.token_wanted = m_state.newest_token <= worker.token;
-  if (!worker.token_wanted)
+  worker.awaits_token = m_state.newest_token <= worker.token;
+  if (!worker.awaits_token)
     worker.token = m_state.newest_token;
 }
 
@@ -151,11 +156,11 @@
 {
   for (const auto& [id, worker] : m_state.workers)
   {
-    if (!(worker->token_wanted || worker->token_outdated) || m_state.newest_token <= worker->token)
+    if (!(worker->awaits_token || worker->token_outdated) || m_state.newest_token <= worker->token)
       continue;
     worker->token = m_state.newest_token;
-    worker->hold_requested |= worker->token_wanted || !worker->unresponsive;
-    worker->token_wanted = worker->token_outdated = false;
+    worker->hold_requested |= worker->awaits_token || !worker->unresponsive;
+    worker->awaits_token = worker->token_outdated = false;
   }
 }
 
@@ -164,43 +169,45 @@
   worker_record* const worker = m_state.find_worker(id);
   if (worker == nullptr)
     return;
-  if (sent < worker->told_at)
+  if (sent < worker->identified_at)
   {
-    worker->hold_requested = true; // it may have begun since
+    // The worker was identified after that call was sent, so it may have started since.
+    worker->hold_requested = true;
     return;
   }
-  life_ended(*worker, scheduler_state::lost_runs::all,
-             "another worker answered at the worker's address", now);
+  end_incarnation(*worker, scheduler_state::lost_runs::all,
+                  "another worker answered at the worker's address", now);
   worker->listed = false;
-  worker->other_entry.reset();
+  worker->conflicting_entry.reset();
   worker->over = true;
-  worker->told_at = now;
+  worker->identified_at = now;
   worker->forget_at = time_point{};
   worker->lease_end = time_point{};
   m_accounting.worker_told(id, now);
 }
 
-// An answer tells which life was there between its call and now. If the life known so far had not
-// answered after that call was sent, it was there before, so the other one is the later.
-bool worker_holder::from_present_life(worker_record& worker, const hold_answer& answer,
-                                      time_point now)
+// An answer shows which incarnation was there at some moment between the sending of its call and
+// now. If it differs from the known one, and that one has not answered since the call was sent, the
+// known one was there earlier, so the answering one is the later of the two.
+bool worker_holder::from_present_incarnation(worker_record& worker, const hold_answer& answer,
+                                             time_point now)
 {
   const bool same = worker.known && answer.born == worker.born;
-  if (!same && (worker.over || answer.sent < worker.told_at))
+  if (!same && (worker.over || answer.sent < worker.identified_at))
   {
     worker.hold_requested = !worker.over;
     return false;
   }
   if (worker.known && !same)
-    restarted(worker, answer, now);
+    handle_restart(worker, answer, now);
   worker.known = true;
   worker.born = answer.born;
-  worker.told_at = now;
-  worker.life_doubted = false;
+  worker.identified_at = now;
+  worker.incarnation_uncertain = false;
   return true;
 }
 
-void worker_holder::restarted(worker_record& worker, const hold_answer& answer, time_point now)
+void worker_holder::handle_restart(worker_record& worker, const hold_answer& answer, time_point now)
 {
   common::log_process("worker_restarted", {{"worker", worker.info.id.value},
                                            {"claimed", worker.claimed},
@@ -210,16 +217,17 @@
                                            {"acknowledged", answer.acknowledged},
                                            {"ends_read", worker.seen}});
   m_state.metrics.add(common::counter::workers_restarted);
-  life_ended(worker, scheduler_state::lost_runs::surely_begun,
-             "the worker has started again under its id", now);
-  // What was sent to the life before may extend this one's leases as far as they go.
-  worker.follows_another = true;
+  end_incarnation(worker, scheduler_state::lost_runs::surely_begun,
+                  "the worker has restarted under its id", now);
+  // Late calls to the earlier incarnation may extend this one's lease, by the longest lease that
+  // any owner gives.
+  worker.has_predecessor = true;
   worker.lease_end = now + m_state.options.longest_lease_of_others();
   worker.hold_requested = true;
-  if (worker.other_entry && worker.other_entry->born == answer.born)
+  if (worker.conflicting_entry && worker.conflicting_entry->born == answer.born)
   {
-    worker.info = *worker.other_entry;
-    worker.other_entry.reset();
+    worker.info = *worker.conflicting_entry;
+    worker.conflicting_entry.reset();
   }
 }
 
@@ -227,39 +235,41 @@
 {
   if (!m_state.may_act(now))
     return;
-  hold_command order;
-  order.worker = worker.info.id;
-  order.address =
-      worker.unresponsive && worker.other_entry ? worker.other_entry->address : worker.info.address;
-  order.token = worker.token;
-  // Ends of another life bear the same numbers, and one that is not known yet may have carried out
-  // what was sent since the latest lists: none of its ends is to be forgotten unread.
-  const bool surely_there = ends_are_read(worker, now);
+  hold_command request;
+  request.worker = worker.info.id;
+  request.address = worker.unresponsive && worker.conflicting_entry
+                        ? worker.conflicting_entry->address
+                        : worker.info.address;
+  request.token = worker.token;
+  // Ends of another incarnation have the same numbers, and one that is not known yet may have
+  // carried out start requests sent since the latest lists. It must not forget an end that nobody
+  // has read.
+  const bool acknowledges = ends_are_read(worker, now);
   const end_number forgettable = m_copies.acknowledgeable(worker, now);
-  order.acknowledged = surely_there ? forgettable : 0;
-  // A worker that does not answer gets no longer lease: its runs must end some day. Nor does one of
-  // which the store says when they do, until that is taken back.
+  request.acknowledged = acknowledges ? forgettable : 0;
+  // The lease of a worker that does not answer is not extended: its runs must end at some time. Nor
+  // is that of a worker for which the store states an end of its runs, until that is taken back.
   if (m_state.orders_begun && worker.claimed && !worker.unresponsive && worker.clock_ahead &&
       !worker.end_stated())
-    order.lease_end = m_state.extended_lease(worker, now);
-  // The worker forgets the ends acknowledged here before it looks for news, so the call that tells
-  // it of them waits for the next one: one call an end instead of two.
+    request.lease_end = m_state.extended_lease(worker, now);
+  // The worker forgets the ends that a hold acknowledges before it looks for updates, so that hold
+  // can also wait for the next end. That takes one call per end instead of two.
   const bool settled = worker.claimed && !worker.unresponsive && worker.seen == forgettable;
-  const bool forgets = surely_there || forgettable == worker.acknowledged;
+  const bool forgets = acknowledges || forgettable == worker.acknowledged;
   if (settled && forgets && !worker.hold_requested && !worker.end_stated())
-    order.wait = hold_wait();
+    request.wait = hold_wait();
   worker.hold_requested = false;
-  ++worker.holds_under_way;
+  ++worker.holds_in_flight;
   worker.last_hold = now;
-  m_state.commands.emplace_back(std::move(order));
+  m_state.commands.emplace_back(std::move(request));
 }
 
 bool worker_holder::ends_are_read(const worker_record& worker, time_point now) const
 {
-  if (worker.life_doubted)
+  if (worker.incarnation_uncertain)
     return false;
   const time_point recent = now - std::max(m_state.options.fresh_lists, m_state.order_patience);
-  return worker.told_at >= recent ||
+  return worker.identified_at >= recent ||
          std::none_of(worker.runs.begin(), worker.runs.end(),
                       [recent](const auto& each)
                       { return !each.second->listed && each.second->begun < recent; });
@@ -275,36 +285,39 @@
 
 bool worker_holder::hold_due(worker_record& worker, time_point now) const
 {
-  if (worker.over || worker.token_wanted)
+  if (worker.over || worker.awaits_token)
     return false;
-  const duration since = now - worker.last_hold;
+  const duration since_last = now - worker.last_hold;
   if (worker.hold_requested)
-    return worker.holds_under_way < k_most_holds;
-  if (worker.holds_under_way > 0)
+    return worker.holds_in_flight < k_max_holds_in_flight;
+  if (worker.holds_in_flight > 0)
     return false;
   if (!worker.claimed && worker.listed)
-    return since >= m_state.options.first_hold_retry;
+    return since_last >= m_state.options.first_hold_retry;
   if (!worker.claimed || worker.unresponsive || worker.end_stated())
-    return since >= m_state.options.hold_retry;
+    return since_last >= m_state.options.hold_retry;
   if (m_copies.acknowledgeable(worker, now) > worker.acknowledged)
     return true;
-  // Ends that are not written yet would be listed again at once.
+  // Ends that are not written cannot be acknowledged, so a waiting hold would be answered with them
+  // at once.
   if (worker.seen > worker.durable)
-    return since >= m_state.options.hold_refresh;
-  // Nor does a hold wait for news beside ends that are kept, so the worker is asked often.
+    return since_last >= m_state.options.hold_refresh;
+  // Nor can a hold wait at a worker whose ends are not acknowledged for other reasons, so the
+  // worker is asked often.
   if (!worker.kept_ends.empty())
-    return since >= m_state.options.hold_retry;
+    return since_last >= m_state.options.hold_retry;
   return !worker.runs.empty() || !worker.foreign.empty();
 }
 
 duration worker_holder::overdue(const worker_record& worker, time_point now) const
 {
-  const bool extended = worker.claimed && !(worker.runs.empty() && worker.foreign.empty());
-  const bool asked = !worker.claimed && worker.taken_over;
-  if (worker.over || worker.token_wanted || !(extended || asked))
+  const bool needs_lease = worker.claimed && !(worker.runs.empty() && worker.foreign.empty());
+  const bool needs_claim = !worker.claimed && worker.taken_over;
+  if (worker.over || worker.awaits_token || !(needs_lease || needs_claim))
     return duration{0};
-  const duration takes = hold_wait() + std::max(m_state.order_patience, m_state.options.hold_retry);
-  return std::max(duration{0}, now - worker.last_hold - takes);
+  const duration round_trip =
+      hold_wait() + std::max(m_state.order_patience, m_state.options.hold_retry);
+  return std::max(duration{0}, now - worker.last_hold - round_trip);
 }
 
 void worker_holder::on_hold(const hold_answer& answer, time_point now)
@@ -318,72 +331,72 @@
   worker_record* const worker = m_state.find_worker(answer.worker);
   if (worker == nullptr)
     return;
-  if (!answer.late && worker->holds_under_way > 0)
-    --worker->holds_under_way;
+  if (!answer.late && worker->holds_in_flight > 0)
+    --worker->holds_in_flight;
   if (answer.end == call_end::other_life)
   {
     on_other_worker(answer.worker, answer.sent, now);
     return;
   }
-  // What a call with an earlier token met says nothing of what the next ones will.
+  // That an earlier token was rejected does not mean that the present one will be.
   if (answer.end == call_end::fenced)
     return;
-  const bool lost = answer.end != call_end::done;
-  if (!lost && !from_present_life(*worker, answer, now))
+  const bool failed = answer.end != call_end::done;
+  if (!failed && !from_present_incarnation(*worker, answer, now))
     return;
-  if (lost != worker->unresponsive)
-    common::log_process(lost ? "worker_silent" : "worker_heard",
+  if (failed != worker->unresponsive)
+    common::log_process(failed ? "worker_silent" : "worker_heard",
                         {{"worker", worker->info.id.value},
                          {"end", to_text(answer.end)},
                          {"runs", worker->runs.size()},
                          {"waited_for", m_accounting.waits_for(answer.worker)},
                          {"lease_left_ms", worker->lease_end - now}});
-  if (lost && !worker->unresponsive)
+  if (failed && !worker->unresponsive)
     m_accounting.tell_listed(*worker, now);
-  worker->set_suspect(lost, now);
-  worker->life_doubted |= lost;
-  if (lost)
+  worker->set_unresponsive(failed, now);
+  worker->incarnation_uncertain |= failed;
+  if (failed)
     m_state.outdate_token(*worker);
-  note_unlisted(*worker, !lost && answer.sent >= worker->unlisted_since);
-  if (lost)
+  update_unlisted(*worker, !failed && answer.sent >= worker->unlisted_since);
+  if (failed)
     return;
   m_state.note_heard(*worker);
   worker->heard_at = now;
   if (answer.clock)
     worker->clock_ahead =
         *answer.clock - std::chrono::duration_cast<milliseconds>(now.time_since_epoch());
-  // The life has not seen the present token yet: older calls may still change what it lists.
-  if (answer.token < worker->token || worker->token_wanted)
+  // This incarnation has not seen the present token, so earlier calls may still change its lists.
+  if (answer.token < worker->token || worker->awaits_token)
     return;
   if (!worker->claimed)
   {
     worker->claimed = true;
-    // From now on no earlier owner extends anything there.
+    // From now on the worker rejects holds of earlier owners, so these can extend no lease.
     if (!worker->end_stated())
-      worker->lease_end = now + (worker->follows_another ? m_state.options.longest_lease_of_others()
+      worker->lease_end = now + (worker->has_predecessor ? m_state.options.longest_lease_of_others()
                                                          : m_state.options.longest_lease());
     m_state.place_again = true;
   }
   if (answer.clock && *answer.clock < worker->listed_at)
-    return; // a later answer was faster
+    return; // a later answer has overtaken this one
   worker->listed_at = answer.clock.value_or(worker->listed_at);
-  // The answer shows which acknowledgement has arrived: ends up to it are listed no more.
+  // The answer shows which acknowledgement the worker has received: it lists no ends up to it.
   worker->acknowledged = std::max(worker->acknowledged, answer.acknowledged);
-  m_follower.on_lists(*worker, answer, now);
+  m_run_tracker.on_lists(*worker, answer, now);
   m_accounting.worker_told(worker->info.id, now);
 }
 
-// A worker without an entry is there as long as it answers.
-void worker_holder::note_unlisted(worker_record& worker, bool heard)
+// A worker without an entry counts as present as long as it answers.
+void worker_holder::update_unlisted(worker_record& worker, bool heard)
 {
   const bool usable = worker.info.capacity.cpu_millis > 0 && !worker.info.draining &&
-                      worker.described() && !worker.over;
-  const bool there = heard && usable && !worker.listed;
-  if (there == worker.heard_unlisted)
+                      worker.entry_is_current() && !worker.over;
+  const bool answers = heard && usable && !worker.listed;
+  if (answers == worker.answers_unlisted)
     return;
-  worker.heard_unlisted = there;
+  worker.answers_unlisted = answers;
   m_state.place_again = true;
-  common::log_process("worker_unlisted", {{"worker", worker.info.id.value}, {"answers", there}});
+  common::log_process("worker_unlisted", {{"worker", worker.info.id.value}, {"answers", answers}});
 }
 
 void worker_holder::tick(time_point now)
@@ -396,8 +409,8 @@
     worker_record& worker = *each->second;
     m_unheard += worker.taken_over && !worker.claimed ? 1 : 0;
     if (!worker.runs.empty() && now >= worker.lease_end)
-      m_crashes.leases_over(worker, "its lease is over", now);
-    if (!worker.present() && worker.runs.empty() && worker.holds_under_way == 0 &&
+      m_crashes.leases_expired(worker, "its lease has expired", now);
+    if (!worker.present() && worker.runs.empty() && worker.holds_in_flight == 0 &&
         !worker.claim_in_flight && now >= std::max(worker.lease_end, worker.forget_at))
     {
       if (worker.claim)
--- a/Source/Core/Scheduling/WorkerRecord.cpp
+++ b/Source/Core/Scheduling/WorkerRecord.cpp
@@ -13,15 +13,15 @@
          clock_ahead.value_or(milliseconds{0});
 }
 
-void worker_record::begin_life(std::uint64_t its_number)
+void worker_record::begin_incarnation(std::uint64_t incarnation_number)
 {
-  static_cast<worker_life&>(*this) = {};
-  number = its_number;
+  static_cast<worker_incarnation&>(*this) = {};
+  number = incarnation_number;
   for (const auto& [task, run] : runs)
     run->orphaned = true;
 }
 
-void worker_record::set_suspect(bool silent, time_point now)
+void worker_record::set_unresponsive(bool silent, time_point now)
 {
   if (silent && !unresponsive)
     silent_since = now;
@@ -31,19 +31,19 @@
 void worker_record::note_order(bool answered, unsigned most_unanswered, time_point now)
 {
   unanswered = answered ? 0 : unanswered + 1;
-  life_doubted |= !answered;
+  incarnation_uncertain |= !answered;
   if (answered || unanswered >= most_unanswered)
-    set_suspect(!answered, now);
+    set_unresponsive(!answered, now);
 }
 
-bool worker_record::should_close_claim(duration patience, time_point now) const
+bool worker_record::should_close_claim(duration timeout, time_point now) const
 {
-  return info.draining || silent_for(patience, now);
+  return info.draining || silent_for(timeout, now);
 }
 
-bool worker_record::silent_for(duration patience, time_point now) const
+bool worker_record::silent_for(duration timeout, time_point now) const
 {
-  return unresponsive && now - silent_since >= patience;
+  return unresponsive && now - silent_since >= timeout;
 }
 
 bool worker_record::silent_after_start(duration within, time_point now) const
--- a/Source/Core/Scheduling/WorkerRecord.h
+++ b/Source/Core/Scheduling/WorkerRecord.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// A worker as its partition's owner holds it in memory: its room, what runs there, its lease.
+// The partition owner's in-memory record of a worker: its capacity, its runs and its lease.
 
 #include <algorithm>
 #include <map>
@@ -18,14 +18,15 @@
 {
 enum class run_phase
 {
-  starting, // ordered, no sure word yet that it runs
+  starting, // a start request was sent or is about to be; nothing confirms yet that the run began
   running,
   stopping
 };
 
 struct worker_record;
 
-// One run of a task on one worker. It exists from the order on until its end is known.
+// One run of a task on one worker. The record exists from the placement of the run, or from its
+// first listing by the worker, until the run's end is known or the run counts as lost.
 struct run_record
 {
   job_record* job = nullptr;
@@ -33,163 +34,189 @@
   run_number number = 0;
   worker_record* worker = nullptr;
   run_phase phase = run_phase::starting;
-  common::resources room; // what it takes of the worker's capacity
-  time_point begun;       // when it was first ordered, or found
-  time_point last_sent;   // of the latest start or stop
-  unsigned sends = 0;     // of the start
-  unsigned answers = 0;   // to these
-  bool listed = false;    // the worker has said that it runs
-  // It was sent to an earlier life of the worker, and the present one is not claimed yet: it may
-  // carry it out still.
+  common::resources room; // the part of the worker's capacity that the run occupies
+  time_point begun;       // when the run was placed, or found on the worker's list
+  time_point last_sent;   // when its latest start or stop request was sent
+  unsigned sends = 0;     // copies of the start request that were sent
+  unsigned answers = 0;   // replies to these copies
+  bool listed = false;    // the worker has listed it as running
+  // Its start request was sent to an earlier incarnation of the worker, and the present incarnation
+  // has not been claimed yet, so the present one may still carry the request out.
   bool orphaned = false;
   std::optional<time_point> start_answered;
   std::optional<time_point> stop_answered;
-  // A copy of the start was rejected for a reason that stays: since then none can be carried out,
-  // and only a list can still show that an earlier one was.
-  std::optional<time_point> start_void;
-  worker_clock_time start_expires{}; // no copy of its start is carried out later
-  std::string checkpoint;            // the latest one listed
+  // Since when no copy of the start request can be carried out any more, because one was rejected
+  // for a permanent reason or its ticket has expired. Only a list can still show that an earlier
+  // copy was carried out.
+  std::optional<time_point> start_voided_at;
+  // The latest lease end that its start requests carry. A worker rejects a copy that arrives later,
+  // unless holds have extended the worker's lease beyond that.
+  worker_clock_time start_expires{};
+  std::string checkpoint; // the latest one listed, or the one that the run was started from
   std::string ticket;
-  std::optional<time_point> ticket_over; // by then no worker takes the ticket any more
+  std::optional<time_point> ticket_over; // from then on every worker rejects the ticket
   std::uint32_t percent = 0;
   std::int64_t load = 0;
   std::uint32_t pace = 100; // percent, as it was last set
 
-  // Whether a copy of its start may be carried out yet, by whatever life is there then.
+  // Whether a copy of the start request may still be carried out, by whichever incarnation of the
+  // worker receives it.
   bool start_may_be_in_flight() const { return sends > answers || !listed; }
-  // Whether its start may still be carried out: nothing tells yet that it was, or cannot be.
-  bool may_begin() const
+  // Whether the run may begin at any moment: nothing shows yet that its start request was carried
+  // out, or that it cannot be.
+  bool start_unresolved() const
   {
-    return orphaned || !(listed || start_answered || stop_answered || start_void);
+    return orphaned || !(listed || start_answered || stop_answered || start_voided_at);
   }
   const jobs::step_spec& spec() const { return *job->step(place).spec; }
   task_ref ref() const { return {job->id(), place}; }
 };
 
-// An end that its worker must not forget yet.
+// The end of a run that its worker must not be told to forget yet.
 struct kept_end
 {
   task_ref task;
   time_point since;
 };
 
-// What is known of one life of a worker. A worker may start again under its id: it then holds and
-// knows nothing of before, and its clock and its numbers of ends begin anew.
-struct worker_life
+// What is known of one incarnation of a worker. A worker may restart under its id: the new
+// incarnation has no runs and no memory of the earlier one, and its clock and its end numbers start
+// from the beginning.
+struct worker_incarnation
 {
-  std::uint64_t number = 0; // no other life of any worker has it
-  bool known = false;       // it has answered, or an earlier owner has heard it
+  std::uint64_t number = 0; // no other incarnation of any worker has it
+  bool known = false;       // it has answered this owner, or an earlier one as its claim shows
   std::optional<born_time> born;
-  // Until it is claimed, orders to an earlier life may reach it.
-  bool follows_another = false;
-  bool life_doubted = false; // a call has had no answer since its latest lists
-  time_point told_at{};      // it answered last then with its lists, which say whose they are
-  // It has answered a hold sent since its entry went: entries lapse while the store cannot hear of
-  // their workers, and come back seconds later.
-  bool heard_unlisted = false;
-  bool over = false;         // another worker has its address; late answers do not bring it back
-  bool claimed = false;      // it has answered a hold with this owner's token
-  bool unresponsive = false; // its last answer did not come
-  time_point silent_since{};
-  time_point first_seen{};
-  std::optional<time_point> taken_over; // since when it has been asked, if an earlier owner's
-  // The worker's clock less ours, from its latest answer.
+  // It has replaced an incarnation that this owner knew. Until it is claimed, start and stop
+  // requests to that one may still reach it.
+  bool has_predecessor = false;
+  // A call has had no answer since the worker's latest lists, so it may have restarted.
+  bool incarnation_uncertain = false;
+  // When a call last showed which incarnation is there: by an answer to a hold, or by another
+  // worker's answer at the address.
+  time_point identified_at{};
+  // It has answered a hold that was sent after its entry had gone. Entries lapse while their
+  // workers cannot reach the store, and return seconds after they can again.
+  bool answers_unlisted = false;
+  bool over = false;    // another worker has its address; late answers do not bring it back
+  bool claimed = false; // it has answered a hold that carried this owner's token
+  // The latest hold, or several start or stop requests in a row, had no answer.
+  bool unresponsive = false;
+  time_point silent_since{}; // while it is unresponsive
+  time_point first_seen{};   // when this owner first knew of the incarnation
+  // Since when an earlier owner's worker has been asked what it runs. Not set for other workers.
+  std::optional<time_point> taken_over;
+  // The worker's clock minus this owner's, from the worker's latest answer to a hold.
   std::optional<std::chrono::milliseconds> clock_ahead;
-  time_point lease_end{}; // on our clock: when all that runs there has surely ended
-  time_point heard_at{};  // its latest answer
-  // A suspected task is on trial there until then, and until then nothing else begins there.
+  time_point lease_end{}; // on the owner's clock: by then all runs on the worker have ended
+  time_point heard_at{};  // of the latest answer
+  // A suspected task has its trial on the worker until then; other suspected tasks wait that long.
   time_point trial_until{};
+  // Until then nothing else begins on the worker, so that a loss can be attributed to one task.
   time_point isolated_until{};
-  const task_record* kept_for_trial = nullptr; // the one that may begin there all the same
-  const run_record* trial = nullptr;           // the latest run that set these two
+  // The task that may begin on the worker although it is isolated.
+  const task_record* kept_for_trial = nullptr;
+  const run_record* trial = nullptr; // the latest run that set `trial_until` or `isolated_until`
   time_point latest_start{};
   time_point avoid_until{};
-  time_point slow_until{}; // last choice until then
-  unsigned unanswered = 0; // orders in a row
-  unsigned failures_in_a_row = 0;
+  time_point slow_until{}; // until then tasks are placed on it only as a last choice
+  unsigned unanswered = 0; // start and stop requests in a row without an answer
+  unsigned consecutive_failures = 0;
 
-  bool hold_requested = false;   // it has news that the hold under way may have lost
-  worker_clock_time listed_at{}; // of the latest lists taken in; answers may overtake each other
+  // A hold is to be sent at once, beside one in flight, for instance because the worker has an
+  // update that the answer to that one may have lost.
+  bool hold_requested = false;
+  // The worker's time of the latest lists applied. Lists with an earlier time were overtaken and
+  // are ignored.
+  worker_clock_time listed_at{};
 
-  end_number seen = 0;         // the highest end taken into memory
-  end_number durable = 0;      // the highest end whose effect the store keeps
-  end_number acknowledged = 0; // the highest end that the worker was told to forget
+  end_number seen = 0;         // the highest end applied in memory
+  end_number durable = 0;      // the highest end whose effect is written to the store
+  end_number acknowledged = 0; // the highest end that the worker has been told to forget
 
   std::map<end_number, kept_end> kept_ends; // none of them is acknowledged
 
-  // Runs of jobs that are not known here: their size is unknown, so nothing is placed beside them.
+  // Runs that this owner has no record of. Their demand may be unknown, so nothing is placed on the
+  // worker while it lists any.
   std::set<std::pair<task_ref, run_number>> foreign;
 };
 
-// A worker by its id, with its present life.
-struct worker_record : worker_life
+// A worker by its id, with its present incarnation.
+struct worker_record : worker_incarnation
 {
   worker_info info;
   bool listed = true; // its entry is in the store
-  // What that entry says can be believed, as far as it was read.
+  // Whether that entry is valid. If it is not, `info` is what the last valid one said.
   bool entry_valid = true;
-  // The entry in the store, if another life or another writer has written it than the life that
-  // answers. Which life is the later one only an answer can tell.
-  std::optional<worker_info> other_entry;
+  // The entry in the store, if it belongs to another incarnation than the one that answers, or was
+  // written by another writer. Only an answer can show which incarnation is the later one.
+  std::optional<worker_info> conflicting_entry;
   time_point unlisted_since{};
   time_point forget_at{}; // without an entry, it is asked until then whether it is still there
-  // What the store keeps of it for later owners, and what is on its way there. Runs are started
-  // only while that is an open claim of the present life: anything may run there. A closed one
-  // lists what may, and nothing is added to it.
+  // What the store has of the worker for later owners, and the claim that is being written. Runs
+  // are started only while the stored claim is an open one of the present incarnation, which means
+  // that anything may run there. A closed claim lists all that may run there; nothing is added.
   std::optional<worker_claim> claim;
   std::optional<worker_claim> claim_in_flight;
-  bool claim_end_untrusted =
-      false; // it states an end that is not believed, until another one is written
-  // What orders to it bear. A life that follows one which this owner has ordered about gets a
-  // higher one, so that it does nothing of what was sent before; none is given it until there is.
+  // The stored claim states an end of the worker's runs that is not trusted. Until another claim is
+  // written, nothing may start there and no lease may be extended.
+  bool claim_end_untrusted = false;
+  // The fencing token of the calls to the worker. After an incarnation that this owner had claimed,
+  // the next one gets a higher token, so that it ignores what was sent to the earlier one.
   fencing_token token = 0;
-  bool token_wanted = false;
-  // A hold that bears it had no answer and may be carried out later, even by the worker's next
-  // life.
+  // The present incarnation needs a higher token, and no call is sent to it until there is one.
+  bool awaits_token = false;
+  // A hold with `token` had no answer and may be carried out later, even by the worker's next
+  // incarnation.
   bool token_outdated = false;
-  unsigned holds_under_way = 0;
+  unsigned holds_in_flight = 0;
   time_point last_hold{};
   common::resources used;
   std::map<task_ref, std::unique_ptr<run_record>> runs;
 
-  // Another life begins, of which nothing is known yet. Its runs stay, as orphans.
-  void begin_life(std::uint64_t its_number);
-  // Its entry is there, or went while the worker answers on.
-  bool present() const { return listed || heard_unlisted; }
-  // Whether what is known of its kind and room is the present life's own word.
-  bool described() const { return !other_entry && (!known || info.born == born); }
-  // Whether anything new may be meant for it, as far as its entry goes.
-  bool offered() const { return present() && entry_valid && described() && !info.draining; }
+  // Replaces the present incarnation by one of which nothing is known yet. Its runs stay, as
+  // orphaned ones.
+  void begin_incarnation(std::uint64_t incarnation_number);
+  // Its entry is in the store, or the worker still answers although the entry has gone.
+  bool present() const { return listed || answers_unlisted; }
+  // Whether `info` was written by the incarnation that answers.
+  bool entry_is_current() const { return !conflicting_entry && (!known || info.born == born); }
+  // Whether new work may be placed on the worker, as far as its entry goes.
+  bool offered() const { return present() && entry_valid && entry_is_current() && !info.draining; }
   worker_clock_time clock_at(time_point now) const;
-  void set_suspect(bool silent, time_point now);
-  // Counts an order's outcome; several unanswered ones in a row make the worker unresponsive.
+  void set_unresponsive(bool silent, time_point now);
+  // Counts whether a start or stop request was answered. `most_unanswered` of them in a row without
+  // an answer make the worker unresponsive.
   void note_order(bool answered, unsigned most_unanswered, time_point now);
-  // Whether its claim ought to be closed: nothing is started on a silent or leaving worker, so what
-  // runs there can be told. And whether runs may be started there.
-  bool should_close_claim(duration patience, time_point now) const;
-  bool silent_for(duration patience, time_point now) const;
-  // Whether one of its runs had begun no longer than that before it fell silent.
+  // Whether its claim has to be closed. Nothing is started on a draining worker, or on one that has
+  // been silent for the timeout, so the claim can list the runs that may be there.
+  bool should_close_claim(duration timeout, time_point now) const;
+  bool silent_for(duration timeout, time_point now) const;
+  // Whether one of its runs was placed no longer than `within` before the worker fell silent, or
+  // before `now` if it is not silent.
   bool silent_after_start(duration within, time_point now) const;
+  // Whether runs may be started on the worker, as far as its claim goes.
   bool claim_open() const
   {
     return claim && claim->born == born && !claim->closed && !claim->over && !claim_in_flight &&
            !claim_end_untrusted;
   }
-  // Whether later owners may read when all that runs there is over: no lease may be extended.
+  // Whether a later owner may read in the store when all runs on the worker are over. Until that is
+  // taken back, no lease may be extended there.
   bool end_stated() const
   {
     return claim_end_untrusted || (claim && claim->over) ||
            (claim_in_flight && claim_in_flight->over);
   }
   common::resources free() const { return info.capacity - used; }
-  // What it can give of the cell's free processors: nothing where its room has shrunk below what
-  // runs there.
+  // The worker's part of the cell's free CPU capacity: zero if the worker's capacity has shrunk
+  // below what its runs use.
   std::int64_t idle_cpu_millis() const { return std::max<std::int64_t>(0, free().cpu_millis); }
   std::uint32_t count_runs_of_step(const job_record& job, std::uint32_t cycle,
                                    std::uint32_t step) const;
   bool has_label(const std::string& label) const;
 };
 
-// What a task of the step takes of a worker's capacity.
+// The part of a worker's capacity that one task of the step occupies.
 common::resources required_resources(const jobs::step_spec& step);
 } // namespace yardhill::scheduling
