--- a/Source/UnitTests/Scheduling/ClaimReturnsTest.cpp
+++ b/Source/UnitTests/Scheduling/ClaimReturnsTest.cpp
@@ -1,9 +1,10 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker is forgotten, and before that is written its entry comes back and it answers. Its claim
-// is to be removed and to be put in one transaction, which leaves open what the store keeps:
-// without the claim a later owner would not know that anything may run there.
+// Guards against a transaction that both removes and puts the claim of a worker, which leaves open
+// what the store keeps. It comes about when the worker is forgotten and, before that is written,
+// its entry returns and the worker answers. Without the claim, a later owner would not know that
+// anything may run there.
 
 #include <boost/test/unit_test.hpp>
 
@@ -17,7 +18,7 @@
 {
 struct returning_worker : scheduler_harness
 {
-  void miss_hold()
+  void leave_hold_unanswered()
   {
     hold_answer answer;
     answer.worker = worker_id("w1");
@@ -35,7 +36,7 @@
   scheduler->worker_entry_gone(worker_id("w1"), now);
   step();
   for (int i = 0; i < 2; ++i)
-    miss_hold();
+    leave_hold_unanswered();
   pass(seconds{60});
   step(); // forgotten
   scheduler->worker_entry(worker("w1"), now);
--- a/Source/UnitTests/Scheduling/CrashWatchTest.cpp
+++ b/Source/UnitTests/Scheduling/CrashWatchTest.cpp
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Which runs are blamed for a worker's crash, how their tasks are tried again, and when they are
-// given up: the parts of CrashingTaskTest (Model), where the incident is told.
+// given up. CrashingTaskTest (Model) describes the incident behind these rules and covers them
+// together.
 
 #include <set>
 
@@ -18,7 +19,7 @@
 
 namespace
 {
-// Two workers at first, with a new life for each that crashes.
+// A cell whose workers are numbered, so that a new one can be added for each that crashes.
 struct crashing_cell : scheduler_harness
 {
   explicit crashing_cell(run_number first_run = 0) : scheduler_harness(first_run) {}
@@ -26,37 +27,37 @@
   void add_workers(int count)
   {
     for (int i = 0; i < count; ++i)
-      add_worker(worker("w" + std::to_string(++m_lives)));
+      add_worker(worker("w" + std::to_string(++m_workers_added)));
   }
 
-  // The start is answered, and some milliseconds later another life has the worker's address.
-  void crash_under(const start_command& order)
+  // Answers the start request; 10 ms later another worker has the address.
+  void crash_worker_of(const start_command& order)
   {
     answer_start(order, call_end::done);
     pass(milliseconds{10});
-    end_life(order.worker);
+    end_incarnation(order.worker);
   }
 
-  void end_life(const worker_id& id)
+  void end_incarnation(const worker_id& id)
   {
     scheduler->worker_entry_gone(id, now);
     fail_hold(id.value, call_end::other_life);
   }
 
-  // So many workers besides that one.
-  void lose_others(const worker_id& than, int count)
+  // Ends the incarnations of `count` workers other than this one.
+  void lose_others(const worker_id& survivor, int count)
   {
-    for (int id = m_lives; id > 0 && count > 0; --id)
+    for (int id = m_workers_added; id > 0 && count > 0; --id)
     {
       const worker_id other("w" + std::to_string(id));
-      if (other == than || !m_lost.insert(other).second)
+      if (other == survivor || !m_lost.insert(other).second)
         continue;
-      end_life(other);
+      end_incarnation(other);
       --count;
     }
   }
 
-  // What is announced is written, and starts are sent.
+  // Writes the announcements that runs wait for, so that their start requests are sent.
   void try_again()
   {
     clear();
@@ -64,7 +65,8 @@
     commit_and_step();
   }
 
-  // Starts of the job so far that have crashed their workers.
+  // Crashes the worker of each start of the job, until there are no more starts, or `most` times.
+  // Returns the number of crashes.
   unsigned crash_until_given_up(unsigned most)
   {
     unsigned crashes = 0;
@@ -72,7 +74,7 @@
     {
       const start_command latest = starts.front();
       clear();
-      crash_under(latest);
+      crash_worker_of(latest);
       ++crashes;
       add_workers(1);
       wait_and_try_again(seconds{3});
@@ -80,7 +82,8 @@
     return crashes;
   }
 
-  // The run's first lease is short; the holds that an owner sends meanwhile extend it.
+  // Lets time pass until a start request is sent, at most `time`. It passes in steps, since a run's
+  // first lease is short and the holds that the owner sends meanwhile have to extend it.
   void wait_and_try_again(duration time)
   {
     for (const time_point end = now + time; now < end && starts.empty();)
@@ -94,7 +97,7 @@
   std::optional<jobs::job_state> state() const { return scheduler->state_of(k_job); }
 
 private:
-  int m_lives = 0;
+  int m_workers_added = 0;
   std::set<worker_id> m_lost;
 };
 
@@ -104,12 +107,12 @@
   {
     add_workers(2);
     start_job(k_job, step_of(1));
-    crash_under(starts.front());
+    crash_worker_of(starts.front());
   }
 };
 
-// The progress of a job as the next owner reads it.
-jobs::job_progress written(scheduler_harness& owner)
+// The progress of the job as the next owner reads it.
+jobs::job_progress written_progress(scheduler_harness& owner)
 {
   const commit_batch batch = owner.scheduler->take_commit(1000, owner.now);
   const auto row = batch.rows.find(scheduler_harness::k_job);
@@ -149,13 +152,13 @@
   clear();
   step();
   BOOST_TEST(starts.empty());
-  const jobs::crash_history crashes = history_of(written(*this)).crashes;
+  const jobs::crash_history crashes = history_of(written_progress(*this)).crashes;
   BOOST_TEST(crashes.blamed.size() == 1U);
   BOOST_TEST(crashes.announced == 2U);
   BOOST_TEST(crashes.announced_on == "w2");
 }
 
-BOOST_FIXTURE_TEST_CASE(what_had_begun_before_is_not_blamed, crashing_cell)
+BOOST_FIXTURE_TEST_CASE(runs_that_had_begun_earlier_are_not_blamed, crashing_cell)
 {
   add_workers(1);
   start_job(k_other_job, step_of(1));
@@ -166,13 +169,13 @@
   clear();
   start_job(k_job, step_of(1));
   const start_command guilty = starts.front();
-  crash_under(guilty);
+  crash_worker_of(guilty);
   const commit_batch batch = scheduler->take_commit(1000, now);
   BOOST_TEST(history_of(jobs::job_progress_from(batch.rows.at(k_job))).crashes.blamed.size() == 1U);
   const jobs::crash_history other =
       history_of(jobs::job_progress_from(batch.rows.at(k_other_job))).crashes;
   BOOST_TEST(counts_of(other) == 0U);
-  BOOST_TEST(other.lost); // and its next run is announced
+  BOOST_TEST(other.lost); // so that the task's next run is announced
 }
 
 BOOST_FIXTURE_TEST_CASE(a_worker_that_leaves_as_planned_has_not_crashed, crashing_cell)
@@ -183,7 +186,7 @@
   worker_info leaving = worker(starts.front().worker.value);
   leaving.draining = true;
   scheduler->worker_entry(leaving, now);
-  end_life(leaving.id);
+  end_incarnation(leaving.id);
   try_again();
   BOOST_TEST(starts.size() == 1U);
   BOOST_TEST(metrics.value(yardhill::common::counter::workers_crashed) == 0U);
@@ -193,11 +196,11 @@
 {
   try_again();
   BOOST_TEST_REQUIRE(starts.size() == 1U);
-  crash_under(starts.front());
+  crash_worker_of(starts.front());
   add_workers(1);
   pass(seconds{3});
   try_again();
-  BOOST_TEST_REQUIRE(starts.size() == 1U); // the third try, on the only worker
+  BOOST_TEST_REQUIRE(starts.size() == 1U); // the third trial, on the only worker
   answer_start(starts.front(), call_end::done);
   clear();
   start_job(k_other_job, step_of(1));
@@ -213,7 +216,7 @@
   jobs::step_spec step_spec = step_of(1);
   step_spec.speculative = true;
   start_job(k_job, step_spec);
-  crash_under(starts.front());
+  crash_worker_of(starts.front());
   try_again();
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   answer_start(starts.front(), call_end::done);
@@ -223,25 +226,25 @@
   BOOST_TEST(starts.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_task_that_lasts_is_free_of_suspicion_once_it_has_run_for_long,
-                        crashing_cell)
+BOOST_FIXTURE_TEST_CASE(a_long_running_task_is_cleared_once_it_has_run_for_long, crashing_cell)
 {
   add_workers(2);
-  jobs::step_spec lasting = step_of(1);
-  lasting.long_running = true;
-  start_job(k_job, lasting);
-  crash_under(starts.front());
+  jobs::step_spec long_running_step = step_of(1);
+  long_running_step.long_running = true;
+  start_job(k_job, long_running_step);
+  crash_worker_of(starts.front());
   try_again();
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   answer_start(starts.front(), call_end::done);
   pass(options.crash_survived);
   answer_hold(starts.front().worker.value, {running(starts.front())});
-  BOOST_TEST(!history_of(written(*this)).crashes.any());
+  BOOST_TEST(!history_of(written_progress(*this)).crashes.any());
 }
 
-// Jobs that crash nothing were given up where most of the cell's workers started again, some of
-// them several times: each loss counted as if the task's worker alone had been lost.
-BOOST_FIXTURE_TEST_CASE(a_loss_among_many_others_convicts_nobody, crashing_cell)
+// Guards against giving up jobs that crash nothing. It happened while most of the cell's workers
+// restarted, some of them several times: each loss counted as if the task's worker alone had been
+// lost.
+BOOST_FIXTURE_TEST_CASE(a_loss_among_many_others_proves_nothing, crashing_cell)
 {
   add_workers(9);
   start_job(k_job, step_of(1));
@@ -252,7 +255,7 @@
     answer_start(latest, call_end::done);
     pass(milliseconds{10});
     lose_others(latest.worker, 2);
-    end_life(latest.worker);
+    end_incarnation(latest.worker);
     add_workers(3);
     wait_and_try_again(options.background_window + options.steady_life);
   }
@@ -260,8 +263,10 @@
   BOOST_TEST(metrics.value(yardhill::common::counter::tasks_given_up) == 0U);
 }
 
-// Of workers that fall together one is noticed first, and its task was convicted by that.
-BOOST_FIXTURE_TEST_CASE(a_conviction_waits_for_others_that_fall_with_the_worker, crashing_cell)
+// Of workers that are lost together, one is noticed first. Its task was given up for that loss,
+// before the others were noticed.
+BOOST_FIXTURE_TEST_CASE(a_decision_waits_for_losses_of_other_workers_at_the_same_time,
+                        crashing_cell)
 {
   add_workers(9);
   start_job(k_job, step_of(1));
@@ -269,11 +274,11 @@
   {
     const start_command latest = starts.front();
     clear();
-    crash_under(latest);
+    crash_worker_of(latest);
     wait_and_try_again(seconds{3});
     BOOST_TEST_REQUIRE(starts.size() == 1U);
   }
-  crash_under(starts.front());
+  crash_worker_of(starts.front());
   BOOST_TEST((state() == jobs::job_state::active));
   lose_others(starts.front().worker, 3);
   pass(options.conviction_wait);
@@ -281,8 +286,8 @@
   BOOST_TEST((state() == jobs::job_state::active));
 }
 
-// Five starts without an answer were taken for crashes although workers fell everywhere: the job
-// was shown as failed without any evidence.
+// Guards against counting start requests without an answer as crashes while workers are lost
+// everywhere: after five of them a job was shown as failed without any evidence.
 BOOST_FIXTURE_TEST_CASE(unanswered_starts_among_many_losses_are_no_evidence, crashing_cell)
 {
   add_workers(12);
@@ -293,7 +298,7 @@
     const start_command latest = starts.front();
     clear();
     lose_others(latest.worker, 2);
-    end_life(latest.worker);
+    end_incarnation(latest.worker);
     add_workers(3);
     wait_and_try_again(options.background_window + options.steady_life);
     losses += starts.empty() ? 0 : 1;
@@ -302,18 +307,18 @@
   BOOST_TEST((state() == jobs::job_state::active));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_trial_waits_until_workers_are_no_longer_lost_anyway, crashing_cell)
+BOOST_FIXTURE_TEST_CASE(a_trial_waits_until_few_workers_are_lost_for_other_reasons, crashing_cell)
 {
   add_workers(9);
   start_job(k_job, step_of(1));
   const start_command first = starts.front();
   clear();
-  crash_under(first);
+  crash_worker_of(first);
   wait_and_try_again(milliseconds{500});
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   const start_command second = starts.front();
   clear();
-  crash_under(second);
+  crash_worker_of(second);
   lose_others(second.worker, 3);
   wait_and_try_again(options.crash_trial_patience);
   BOOST_TEST(starts.empty());
@@ -322,8 +327,8 @@
   BOOST_TEST(starts.size() == 1U);
 }
 
-// Each new task that crashed its worker counted as background for all others, so that they excused
-// each other and were started without a bound.
+// Guards against unbounded starts of tasks that crash their workers: each new such task counted as
+// a background loss for all others, so that they excused each other.
 BOOST_FIXTURE_TEST_CASE(tasks_that_crash_their_workers_do_not_excuse_each_other, crashing_cell)
 {
   add_workers(12);
@@ -342,14 +347,14 @@
   }
   pass(seconds{3});
   for (const start_command& order : first_starts)
-    end_life(order.worker);
-  const jobs::crash_history crashes = history_of(written(*this)).crashes;
+    end_incarnation(order.worker);
+  const jobs::crash_history crashes = history_of(written_progress(*this)).crashes;
   BOOST_TEST(crashes.by_chance == 0U);
   BOOST_TEST(crashes.blamed.size() == 1U);
 }
 
-// Losses by chance did not count against the tries, so a task that had crashed a worker for certain
-// was started a sixth time.
+// Losses by chance did not count as lost starts, so a task that had certainly crashed a worker was
+// started a sixth time.
 BOOST_FIXTURE_TEST_CASE(a_blamed_task_is_given_up_after_five_lost_starts_whatever_their_verdicts,
                         takeover_harness)
 {
@@ -372,7 +377,7 @@
   begin();
   fail_hold("w9", call_end::other_life);
   step();
-  BOOST_TEST(history_of(written(*this)).crashes.blamed.size() == 3U);
+  BOOST_TEST(history_of(written_progress(*this)).crashes.blamed.size() == 3U);
 }
 
 BOOST_FIXTURE_TEST_CASE(an_announced_run_on_a_worker_that_was_heard_does_not_count,
@@ -382,7 +387,7 @@
   scheduler->restore_job(job(k_job, {step_of(1)}), announced_on_w9(), now);
   begin();
   answer_hold("w9", {});
-  const jobs::crash_history crashes = history_of(written(*this)).crashes;
+  const jobs::crash_history crashes = history_of(written_progress(*this)).crashes;
   BOOST_TEST(crashes.blamed.size() == 2U);
   BOOST_TEST(crashes.unclear.empty());
 }
@@ -392,14 +397,16 @@
   restore_claim("w9", {{"10.0.0.9", 80}, "", false, {}});
   scheduler->restore_job(job(k_job, {step_of(1)}), announced_on_w9(), now);
   begin();
-  pass(seconds{17}); // beyond all earlier leases
+  pass(seconds{17}); // past the end of all leases of earlier owners
   step();
-  BOOST_TEST(history_of(written(*this)).crashes.unclear.size() == 1U);
+  BOOST_TEST(history_of(written_progress(*this)).crashes.unclear.size() == 1U);
 }
 
-// An owner that found the worker gone wrote its claim off and was lost before the other workers
-// were heard; the next one took the announced run for one that had been heard.
-BOOST_FIXTURE_TEST_CASE(what_a_claim_tells_is_written_before_the_claim_goes, takeover_harness)
+// Guards against losing the count of an announced run. An owner that found the worker gone removed
+// the worker's claim, and was lost before the other workers had answered. The next owner then
+// assumed that the worker had listed its runs without the announced one.
+BOOST_FIXTURE_TEST_CASE(losses_known_from_a_claim_are_written_before_the_claim_is_removed,
+                        takeover_harness)
 {
   restore_claim("w8", {{"10.0.0.8", 80}, "", false, {}});
   restore_claim("w9", {{"10.0.0.9", 80}, "", false, {}});
@@ -416,9 +423,10 @@
   BOOST_TEST(crashes.announced == 0U);
 }
 
-// The first start of a task is not announced, and so was the second one where the owner that had
-// found the first one's worker gone was lost: six starts crashed six workers.
-BOOST_FIXTURE_TEST_CASE(a_task_that_a_lost_claim_may_have_held_is_announced_by_later_owners,
+// Guards against six starts that crash six workers. The first start of a task is not announced. The
+// second one was not announced either if the owner that had found the first one's worker gone was
+// lost in between.
+BOOST_FIXTURE_TEST_CASE(a_task_that_a_removed_claim_may_have_covered_is_announced_by_later_owners,
                         takeover_harness)
 {
   restore_claim("w8", {{"10.0.0.8", 80}, "", false, {}});
--- a/Source/UnitTests/Scheduling/DrainTest.cpp
+++ b/Source/UnitTests/Scheduling/DrainTest.cpp
@@ -11,10 +11,10 @@
 
 namespace
 {
-// One task runs on w1; then w2 comes and w1 begins to drain.
+// One task runs on w1; then w2 is added and w1 begins to drain.
 struct draining_worker : scheduler_harness
 {
-  void play(const yardhill::jobs::step_spec& spec)
+  void start_and_drain(const yardhill::jobs::step_spec& spec)
   {
     send_first_start(spec);
     answer_start(starts.front(), call_end::done);
@@ -32,14 +32,14 @@
   }
 };
 
-yardhill::jobs::step_spec lasting()
+yardhill::jobs::step_spec long_running_step()
 {
   yardhill::jobs::step_spec spec = scheduler_harness::step_of(1);
   spec.long_running = true;
   return spec;
 }
 
-yardhill::jobs::step_spec saving(milliseconds estimate)
+yardhill::jobs::step_spec checkpointing_step(milliseconds estimate)
 {
   yardhill::jobs::step_spec spec = scheduler_harness::step_of(1);
   spec.checkpointing = true;
@@ -50,11 +50,12 @@
 
 BOOST_AUTO_TEST_SUITE(DrainTest)
 
-// Periyar, scale-2, 28.9 s: an owner was killed while a worker was leaving; its open claim kept
-// every task of the partition waiting for 12 s. (And mix, seed 373484793891: LOST.)
+// Guards against an open claim of a draining worker: when the worker's owner was killed, that claim
+// kept every task of the partition waiting for 12 s (site Periyar, scale-2). The same fault led to
+// LOST in mix, seed 373484793891.
 BOOST_FIXTURE_TEST_CASE(a_draining_worker_has_a_closed_claim_that_shrinks, draining_worker)
 {
-  play(step_of(1));
+  start_and_drain(step_of(1));
   commit_batch batch = scheduler->take_commit(1000, now);
   BOOST_TEST_REQUIRE(batch.claims.contains(worker_id("w1")));
   BOOST_TEST(batch.claims.at(worker_id("w1")).closed);
@@ -67,11 +68,11 @@
   BOOST_TEST(batch.claims.at(worker_id("w1")).tasks.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_lasting_task_moves_off_once_another_worker_has_room, draining_worker)
+BOOST_FIXTURE_TEST_CASE(a_long_running_task_moves_once_another_worker_has_capacity, draining_worker)
 {
-  play(lasting());
+  start_and_drain(long_running_step());
   BOOST_TEST_REQUIRE(stops.size() == 1U);
-  BOOST_TEST(starts.size() == 1U); // not before the first run has ended
+  BOOST_TEST(starts.size() == 1U); // the task moves only after its first run has ended
   answer_stop(stops.front(), call_end::done);
   answer_hold("w1", {}, {ended(1, starts.front(), run_end::stopped)});
   step();
@@ -79,18 +80,17 @@
   BOOST_TEST(starts.back().worker.value == "w2");
 }
 
-BOOST_FIXTURE_TEST_CASE(without_room_elsewhere_a_lasting_task_stays, draining_worker)
+BOOST_FIXTURE_TEST_CASE(without_capacity_elsewhere_a_long_running_task_stays, draining_worker)
 {
-  send_first_start(lasting());
+  send_first_start(long_running_step());
   answer_start(starts.front(), call_end::done);
   drain();
   BOOST_TEST(stops.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_task_that_saves_its_work_moves_if_it_would_not_end_in_time,
-                        draining_worker)
+BOOST_FIXTURE_TEST_CASE(a_checkpointing_task_moves_if_it_would_not_end_in_time, draining_worker)
 {
-  play(saving(seconds{10}));
+  start_and_drain(checkpointing_step(seconds{10}));
   BOOST_TEST_REQUIRE(stops.size() == 1U);
   answer_hold("w1", {}, {ended(1, starts.front(), run_end::stopped, "saved")});
   step();
@@ -100,13 +100,13 @@
 
 BOOST_FIXTURE_TEST_CASE(a_task_that_ends_in_time_stays, draining_worker)
 {
-  play(saving(seconds{1}));
+  start_and_drain(checkpointing_step(seconds{1}));
   BOOST_TEST(stops.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_task_that_would_begin_again_stays, draining_worker)
+BOOST_FIXTURE_TEST_CASE(a_task_without_checkpoints_stays, draining_worker)
 {
-  play(step_of(1));
+  start_and_drain(step_of(1));
   BOOST_TEST(stops.empty());
 }
 
--- a/Source/UnitTests/Scheduling/HandOverTest.cpp
+++ b/Source/UnitTests/Scheduling/HandOverTest.cpp
@@ -5,9 +5,9 @@
 
 #include "Scheduling/SchedulerHarness.h"
 
-// Owners that were stopped as planned under a burst kept their partition until they were killed, 6
-// s later: they gave it back only at a moment without anything to write, and went on starting
-// tasks, whose ends came all the time.
+// Guards against an owner that does not release its partition when it is stopped as planned under a
+// burst of tasks, until it is killed 6 s later. Such owners released the partition only at a moment
+// with nothing to write, and went on starting tasks, whose ends arrived all the time.
 
 using namespace yardhill::scheduling;
 
@@ -29,14 +29,14 @@
 
 BOOST_AUTO_TEST_SUITE(HandOverTest)
 
-// Ends that come while it is on its way are listed again for the next owner.
+// Ends that arrive while the commit is in flight are listed again for the next owner.
 BOOST_FIXTURE_TEST_CASE(a_commit_with_all_ends_so_far_is_complete, busy_owner)
 {
   answer_hold("w1", {running(starts.back())}, {ended(1, starts.front(), run_end::done)});
   BOOST_TEST(scheduler->take_commit(90, now).complete);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_commit_that_leaves_rows_out_is_not, busy_owner)
+BOOST_FIXTURE_TEST_CASE(a_commit_that_leaves_rows_out_is_not_complete, busy_owner)
 {
   scheduler->add_job(job("0123456789abcde0", {step_of(1)}), now);
   scheduler->cancel_job("0123456789abcde0", now);
--- a/Source/UnitTests/Scheduling/InvalidEntryTest.cpp
+++ b/Source/UnitTests/Scheduling/InvalidEntryTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker whose entry is not valid at present: another writer has put something in its place.
+// A worker whose entry is invalid at present, because another writer has replaced it.
 
 #include <boost/test/unit_test.hpp>
 
@@ -12,7 +12,7 @@
 
 BOOST_AUTO_TEST_SUITE(InvalidEntryTest)
 
-BOOST_FIXTURE_TEST_CASE(nothing_new_is_started_there, scheduler_harness)
+BOOST_FIXTURE_TEST_CASE(no_run_is_started_on_the_worker, scheduler_harness)
 {
   add_worker(worker("w1"));
   scheduler->worker_entry_invalid(worker_id("w1"));
@@ -20,11 +20,11 @@
   BOOST_TEST(starts.empty());
   scheduler->worker_entry(worker("w1"), now);
   step();
-  commit_and_step(); // that the step has begun
+  commit_and_step(); // writes that the step has begun
   BOOST_TEST(starts.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(others_are_used_on, scheduler_harness)
+BOOST_FIXTURE_TEST_CASE(other_workers_are_still_used, scheduler_harness)
 {
   add_worker(worker("w1"));
   add_worker(worker("w2"));
@@ -35,7 +35,7 @@
     BOOST_TEST(each.worker.value == "w2");
 }
 
-BOOST_FIXTURE_TEST_CASE(what_runs_there_is_followed_to_its_end, scheduler_harness)
+BOOST_FIXTURE_TEST_CASE(runs_on_the_worker_are_tracked_to_their_end, scheduler_harness)
 {
   send_first_start();
   answer_start(starts.front(), call_end::done);
@@ -45,14 +45,14 @@
   holds.clear();
   answer_hold("w1", {running(starts.front())});
   step();
-  BOOST_TEST_REQUIRE(holds.size() == 1U); // its lease is extended
+  BOOST_TEST_REQUIRE(holds.size() == 1U); // the worker's lease is extended
   BOOST_TEST(holds.front().lease_end.has_value());
   BOOST_TEST(stops.empty());
   answer_hold("w1", {}, {ended(1, starts.front(), run_end::done)});
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_entry_of_no_known_worker_changes_nothing, scheduler_harness)
+BOOST_FIXTURE_TEST_CASE(an_invalid_entry_of_an_unknown_worker_changes_nothing, scheduler_harness)
 {
   add_worker(worker("w1"));
   scheduler->worker_entry_invalid(worker_id("w9"));
--- a/Source/UnitTests/Scheduling/LostAnswersTest.cpp
+++ b/Source/UnitTests/Scheduling/LostAnswersTest.cpp
@@ -12,7 +12,7 @@
 
 namespace
 {
-// A task runs on w1, where a hold waits for news.
+// A task runs on w1, where a hold waits for an update.
 struct held_worker : scheduler_harness
 {
   held_worker()
@@ -26,10 +26,10 @@
 
 BOOST_AUTO_TEST_SUITE(LostAnswersTest)
 
-// Thies, trouble-1, 12.4 to 13.9 s: a start's answer was lost, then the answer with its end. Each
-// copy of the start was rejected as out of date, and the end was heard 1.6 s later.
-BOOST_FIXTURE_TEST_CASE(a_copy_of_a_start_that_is_out_of_date_has_the_lists_asked_for_at_once,
-                        held_worker)
+// Guards against learning of an end late (site Thies, trouble-1). The answer to a start request was
+// lost, then the answer to the hold with the run's end. Each copy of the start request was rejected
+// as outdated, but the end was heard only 1.6 s later.
+BOOST_FIXTURE_TEST_CASE(an_outdated_copy_of_a_start_request_triggers_a_hold_at_once, held_worker)
 {
   answer_start(starts.front(), call_end::unanswered);
   pass(milliseconds{310});
@@ -44,7 +44,7 @@
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_answer_that_was_overtaken_is_left_out, held_worker)
+BOOST_FIXTURE_TEST_CASE(an_overtaken_answer_is_ignored, held_worker)
 {
   answer_start(starts.front(), call_end::done);
   const worker_clock_time before = clock();
@@ -59,18 +59,19 @@
   late.sent = now - milliseconds{60};
   scheduler->hold_answered(late, now);
   step();
-  BOOST_TEST_REQUIRE(starts.size() == 1U); // the task is not taken for running
+  // The overtaken list does not make the task count as running.
+  BOOST_TEST_REQUIRE(starts.size() == 1U);
   BOOST_TEST(starts.front().run == 2U);
 }
 
-// Each copy of such a start has an end of its own: that the first came too late says nothing of the
-// second. The run was dropped and its room given away, and the second copy brought the worker over
-// its room.
-BOOST_FIXTURE_TEST_CASE(a_copy_that_came_too_late_voids_no_later_one, scheduler_harness)
+// Each copy of a speculative task's start request carries a lease end of its own, so that the first
+// copy came too late says nothing about the second. The run was removed and its capacity used for
+// others, and then the second copy exceeded the worker's capacity.
+BOOST_FIXTURE_TEST_CASE(a_copy_that_came_too_late_does_not_void_a_later_one, scheduler_harness)
 {
-  yardhill::jobs::step_spec copied = step_of(1, 10000);
-  copied.speculative = true;
-  send_first_start(copied);
+  yardhill::jobs::step_spec speculative_step = step_of(1, 10000);
+  speculative_step.speculative = true;
+  send_first_start(speculative_step);
   const start_command first = starts.front();
   answer_start(first, call_end::unanswered);
   pass(milliseconds{500});
--- a/Source/UnitTests/Scheduling/LostEntryTest.cpp
+++ b/Source/UnitTests/Scheduling/LostEntryTest.cpp
@@ -26,8 +26,9 @@
 
 BOOST_AUTO_TEST_SUITE(LostEntryTest)
 
-// Periyar, scale-2, 39.2 to 41.2 s: the entries of a zone's workers had lapsed while it was cut off
-// and came back 2 s after the cut; till then nothing was started on workers that answered.
+// Guards against leaving workers unused that answer but have no entry (site Periyar, scale-2). The
+// entries of a zone's workers had lapsed while the zone was isolated, and returned 2 s after its
+// connection; until then nothing was started on these workers.
 BOOST_FIXTURE_TEST_CASE(a_worker_that_answers_is_used_without_its_entry, known_worker)
 {
   lose_entry();
@@ -60,7 +61,7 @@
   }
   answer_hold("w1", {});
   step();
-  commit(); // its claim had been closed
+  commit(); // opens the worker's claim, which had been closed while it was silent
   start_job(k_job, step_of(1));
   BOOST_TEST(starts.size() == 1U);
 }
--- a/Source/UnitTests/Scheduling/StatedEndTest.cpp
+++ b/Source/UnitTests/Scheduling/StatedEndTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The claim of a silent worker says when all that runs there is over. Later owners start its tasks
-// elsewhere by that word, so it has to stay true.
+// The claim of a silent worker states when all runs on the worker are over. Later owners rely on
+// that time when they start the worker's tasks elsewhere, so no lease may extend beyond it.
 
 #include <boost/test/unit_test.hpp>
 
@@ -20,7 +20,7 @@
 {
   explicit stated_end(run_number first_run = 0) : scheduler_harness(first_run) {}
 
-  void miss_hold(const std::string& worker)
+  void leave_hold_unanswered(const std::string& worker)
   {
     hold_answer answer;
     answer.worker = worker_id(worker);
@@ -28,10 +28,10 @@
     scheduler->hold_answered(answer, now);
   }
 
-  // Unanswered for as long as it takes to close a claim.
+  // Leaves the worker's calls unanswered for as long as it takes to close a claim.
   void fall_silent(const std::string& worker)
   {
-    miss_hold(worker);
+    leave_hold_unanswered(worker);
     pass(options.close_claim);
     step();
   }
@@ -48,7 +48,7 @@
   }
 };
 
-// A worker with a run whose lease was given at `leased`.
+// A worker with a run whose lease was last extended at `leased`.
 struct silent_worker : stated_end
 {
   silent_worker()
@@ -71,8 +71,8 @@
   time_point leased;
 };
 
-// An owner that has taken over; what earlier ones ordered is over after 12 s. A task of theirs is
-// listed on w9, which does not answer.
+// An owner that has taken the partition over. The runs that earlier owners started are over after
+// 12 s. The claim of w9, which does not answer, lists a task of theirs.
 struct later_owner : stated_end
 {
   later_owner() : stated_end(1000) {}
@@ -107,7 +107,7 @@
   bool starts_after(milliseconds time)
   {
     pass(time);
-    step(); // gives up what is over
+    step(); // gives up the workers whose stated ends are over
     commit();
     step();
     return !starts.empty();
@@ -126,7 +126,7 @@
   BOOST_TEST((*claim->over == leased + options.longest_lease()));
 }
 
-// An extended lease would make what the store says untrue.
+// An extended lease would make the end in the store untrue.
 BOOST_FIXTURE_TEST_CASE(a_worker_that_answers_again_is_leased_once_its_end_is_taken_back,
                         silent_worker)
 {
@@ -152,8 +152,8 @@
   BOOST_TEST(holds.front().lease_end.has_value());
 }
 
-// It may be written although no answer has come.
-BOOST_FIXTURE_TEST_CASE(no_lease_is_extended_while_the_end_is_on_its_way, silent_worker)
+// The end may be written although the store has not answered yet.
+BOOST_FIXTURE_TEST_CASE(no_lease_is_extended_while_the_end_is_being_written, silent_worker)
 {
   const commit_batch batch = scheduler->take_commit(1000, now);
   BOOST_TEST(batch.claims.at(worker_id("w1")).over.has_value());
@@ -172,19 +172,19 @@
   scheduler->add_job(job("fedcba9876543210", {step_of(1)}), now);
   clear();
   step();
-  const commit_batch batch = scheduler->take_commit(1000, now); // takes the end back
+  const commit_batch batch = scheduler->take_commit(1000, now); // takes the stated end back
   BOOST_TEST(!batch.claims.at(worker_id("w1")).over.has_value());
   step();
   BOOST_TEST(starts.empty());
   scheduler->commit_done(batch, true);
   step();
-  commit(); // that the step has begun
+  commit(); // writes that the step has begun
   step();
   BOOST_TEST(starts.size() == 1U);
 }
 
-// Its leases are extended until it is gone.
-BOOST_FIXTURE_TEST_CASE(a_leaving_worker_that_answers_has_no_end, stated_end)
+// The leases of a draining worker are extended until it has left, so no end may be stated.
+BOOST_FIXTURE_TEST_CASE(no_end_is_stated_for_a_leaving_worker_that_answers, stated_end)
 {
   add_worker(worker("w1"));
   worker_info leaving = worker("w1");
@@ -203,23 +203,25 @@
   BOOST_TEST(starts_after(milliseconds{150}));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_later_owner_waits_no_longer_than_by_its_own_count, later_owner)
+BOOST_FIXTURE_TEST_CASE(a_later_owner_waits_no_longer_than_for_the_end_it_computes_itself,
+                        later_owner)
 {
   take_over(listed_until(now + seconds{30}));
   BOOST_TEST(!starts_after(milliseconds{11900}));
   BOOST_TEST(starts_after(milliseconds{150}));
 }
 
-BOOST_FIXTURE_TEST_CASE(without_a_stated_end_a_later_owner_waits_by_its_own_count, later_owner)
+BOOST_FIXTURE_TEST_CASE(without_a_stated_end_a_later_owner_waits_for_the_end_it_computes_itself,
+                        later_owner)
 {
   take_over(listed_until(std::nullopt));
   BOOST_TEST(!starts_after(milliseconds{11900}));
   BOOST_TEST(starts_after(milliseconds{150}));
 }
 
-// So that the next owner goes on with this one's wait. What may run there is known to earlier
-// owners alone.
-BOOST_FIXTURE_TEST_CASE(the_claim_of_a_worker_never_heard_gets_the_end_of_earlier_orders,
+// The end is stated so that the next owner continues this one's wait. The tasks of the claim stay,
+// since only earlier owners knew what may run on the worker.
+BOOST_FIXTURE_TEST_CASE(the_claim_of_a_worker_never_heard_gets_the_end_of_earlier_requests,
                         later_owner)
 {
   const time_point end = now + seconds{12};
@@ -232,19 +234,20 @@
   BOOST_TEST(claim->tasks.size() == 1U);
   pass(seconds{1});
   step();
-  BOOST_TEST(!next_claim("w9").has_value()); // said once
+  BOOST_TEST(!next_claim("w9").has_value()); // stated only once
 }
 
-BOOST_FIXTURE_TEST_CASE(a_stated_end_holds_for_the_owners_after_the_next_one, later_owner)
+BOOST_FIXTURE_TEST_CASE(a_stated_end_stays_for_the_owners_after_the_next_one, later_owner)
 {
   take_over(listed_until(now + seconds{3}));
   fall_silent("w9");
   BOOST_TEST(!next_claim("w9").has_value());
 }
 
-// While instances are updated one after the other an owner of an earlier version may come in
-// between: it extends leases and leaves an end that was stated before as it is.
-BOOST_FIXTURE_TEST_CASE(an_end_is_not_believed_if_the_last_owner_knew_of_none, later_owner)
+// During a rolling update, an owner of an earlier version may come in between. Such an owner
+// extends leases but leaves an end that was stated before as it is.
+BOOST_FIXTURE_TEST_CASE(an_end_is_not_trusted_if_the_last_owner_did_not_support_stated_ends,
+                        later_owner)
 {
   scheduler->doubt_stated_ends();
   take_over(listed_until(now + seconds{1}));
@@ -257,9 +260,10 @@
   BOOST_TEST(!starts_after(seconds{2}));
 }
 
-// Owners that were all lost within a quarter of a second of each other stated no end, so each
-// counted the leases of a worker that was gone anew, and its tasks waited for them all.
-BOOST_FIXTURE_TEST_CASE(an_owner_states_the_end_of_the_few_that_do_not_answer_at_once, later_owner)
+// Guards against waits that add up. Owners that were all lost within a quarter of a second of each
+// other stated no end. So each of them computed the lease end of a worker that was gone anew, and
+// the worker's tasks waited for all of these.
+BOOST_FIXTURE_TEST_CASE(an_owner_states_the_ends_of_a_few_unanswering_workers_early, later_owner)
 {
   const time_point end = now + seconds{12};
   take_over(listed_until(std::nullopt));
@@ -270,7 +274,8 @@
   BOOST_TEST((claim->over == end));
 }
 
-// It may be heard the moment after that: no lease is extended until the end is taken back.
+// The worker may be heard just after its end was stated. No lease is extended until that is taken
+// back.
 BOOST_FIXTURE_TEST_CASE(an_end_stated_early_is_taken_back_once_the_worker_is_heard, later_owner)
 {
   take_over(listed_until(std::nullopt));
@@ -288,8 +293,7 @@
   BOOST_TEST(!claim->over.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(an_end_that_is_not_believed_is_taken_back_before_a_lease_is_extended,
-                        later_owner)
+BOOST_FIXTURE_TEST_CASE(an_untrusted_end_is_taken_back_before_a_lease_is_extended, later_owner)
 {
   scheduler->doubt_stated_ends();
   take_over(listed_until(now + seconds{1}));
--- a/Source/UnitTests/Scheduling/WorkerLivesTest.cpp
+++ b/Source/UnitTests/Scheduling/WorkerLivesTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker that starts again under its id: which life answers, what is known of it, and what was
-// sent to the one before.
+// A worker that restarts under its id: which incarnation answers, what is known of it, and what
+// becomes of requests to the earlier one.
 
 #include <algorithm>
 
@@ -15,9 +15,10 @@
 
 namespace
 {
-const born_time k_first{milliseconds{1'000'000}};
-// A clock may have jumped back: which life is the later one does not follow from it.
-const born_time k_second{milliseconds{900'000}};
+const born_time k_first_start_time{milliseconds{1'000'000}};
+// Earlier than k_first_start_time, since a worker's clock may have jumped back: the start times do
+// not show which incarnation is the later one.
+const born_time k_second_start_time{milliseconds{900'000}};
 
 worker_info born_at(born_time born)
 {
@@ -26,17 +27,17 @@
   return info;
 }
 
-// One worker, known by its first life.
-struct lives_harness : scheduler_harness
+// One worker, known by its first incarnation.
+struct incarnations_harness : scheduler_harness
 {
-  lives_harness()
+  incarnations_harness()
   {
-    born = k_first;
-    add_worker(born_at(k_first));
+    born = k_first_start_time;
+    add_worker(born_at(k_first_start_time));
   }
 
-  // A running task that the first life has listed.
-  start_command run_listed()
+  // Starts a task and lets the first incarnation list it as running.
+  start_command start_listed_run()
   {
     start_job(k_job, step_of(1));
     BOOST_TEST_REQUIRE(starts.size() == 1U);
@@ -49,17 +50,17 @@
     return order;
   }
 
-  // Answers as another life, to calls that are sent now.
+  // Answers as another incarnation to a call that is sent now.
   void restart()
   {
     pass(milliseconds{500});
-    born = k_second;
+    born = k_second_start_time;
     answer_hold("w1", {});
     step();
   }
 };
 
-// The owner takes over what one before had claimed.
+// An owner takes over a worker that an earlier owner had claimed.
 struct claimed_harness : takeover_harness
 {
   claimed_harness()
@@ -68,7 +69,7 @@
     worker_claim claim;
     claim.address = worker("w1").address;
     claim.zone = "zone";
-    claim.born = k_first;
+    claim.born = k_first_start_time;
     restore_claim("w1", claim);
     begin();
   }
@@ -77,11 +78,11 @@
 
 BOOST_AUTO_TEST_SUITE(WorkerLivesTest)
 
-BOOST_FIXTURE_TEST_CASE(what_ran_in_the_life_before_starts_again, lives_harness)
+BOOST_FIXTURE_TEST_CASE(runs_of_the_earlier_incarnation_start_again, incarnations_harness)
 {
-  const start_command before = run_listed();
+  const start_command before = start_listed_run();
   restart();
-  scheduler->worker_entry(born_at(k_second), now);
+  scheduler->worker_entry(born_at(k_second_start_time), now);
   answer_hold("w1", {});
   commit_and_step();
   commit_and_step();
@@ -90,15 +91,15 @@
   BOOST_TEST(starts.front().run > before.run);
 }
 
-BOOST_FIXTURE_TEST_CASE(numbers_of_ends_begin_anew, lives_harness)
+BOOST_FIXTURE_TEST_CASE(end_numbers_begin_anew, incarnations_harness)
 {
-  const start_command before = run_listed();
+  const start_command before = start_listed_run();
   answer_hold("w1", {}, {ended(5, before, run_end::failed)});
   commit_and_step();
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   clear();
   restart();
-  scheduler->worker_entry(born_at(k_second), now);
+  scheduler->worker_entry(born_at(k_second_start_time), now);
   answer_hold("w1", {});
   commit_and_step();
   commit_and_step();
@@ -112,9 +113,9 @@
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
 }
 
-BOOST_FIXTURE_TEST_CASE(lists_with_a_clock_that_begins_anew_are_taken_in, lives_harness)
+BOOST_FIXTURE_TEST_CASE(lists_with_a_clock_that_begins_anew_are_applied, incarnations_harness)
 {
-  const start_command before = run_listed();
+  const start_command before = start_listed_run();
   pass(milliseconds{500});
   hold_answer answer;
   answer.worker = before.worker;
@@ -122,19 +123,20 @@
   answer.clock = milliseconds{40};
   answer.sent = now;
   answer.token = token;
-  answer.born = k_second;
+  answer.born = k_second_start_time;
   scheduler->hold_answered(answer, now);
   BOOST_TEST(metrics.value(yardhill::common::counter::workers_crashed) == 1U);
   answer.clock = milliseconds{80};
-  answer.running = {running(before)}; // a late copy of its start
+  answer.running = {running(before)}; // a late copy of the start request
   scheduler->hold_answered(answer, now);
   step();
   BOOST_TEST(starts.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(the_next_life_obeys_no_order_to_the_one_before, lives_harness)
+BOOST_FIXTURE_TEST_CASE(requests_to_the_earlier_incarnation_have_a_lower_token,
+                        incarnations_harness)
 {
-  run_listed();
+  start_listed_run();
   const fencing_token before = token;
   commit();
   restart();
@@ -142,11 +144,13 @@
   BOOST_TEST(holds.back().token > before);
 }
 
-// A hold that had no answer was carried out by the next life, which forgot an end that nobody had
-// read; nobody knew of that life yet.
-BOOST_FIXTURE_TEST_CASE(a_start_after_an_unanswered_hold_voids_that_hold, lives_harness)
+// Guards against an end that is forgotten unread. A hold that had no answer was carried out by the
+// next incarnation, of which the owner did not know yet, and which forgot an end of its own because
+// of the hold's acknowledgement.
+BOOST_FIXTURE_TEST_CASE(a_start_request_after_an_unanswered_hold_voids_that_hold,
+                        incarnations_harness)
 {
-  const start_command earlier = run_listed();
+  const start_command earlier = start_listed_run();
   fail_hold("w1", call_end::unanswered);
   commit_and_step();
   answer_hold("w1", {running(earlier)});
@@ -156,17 +160,19 @@
   BOOST_TEST(starts.front().token > earlier.token);
 }
 
-// The start may reach the next life yet, so the task waits until that one has been claimed.
-BOOST_FIXTURE_TEST_CASE(a_start_on_its_way_to_the_life_before_is_waited_for, lives_harness)
+// The start request may still reach the next incarnation, so the task waits until that one has been
+// claimed.
+BOOST_FIXTURE_TEST_CASE(a_start_request_in_flight_to_the_earlier_incarnation_is_waited_for,
+                        incarnations_harness)
 {
   start_job(k_job, step_of(1));
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   const start_command order = starts.front();
   clear();
   answer_start(order, call_end::unanswered);
-  add_worker(worker("w2")); // with room for the task
+  add_worker(worker("w2")); // with capacity for the task
   pass(milliseconds{500});
-  born = k_second;
+  born = k_second_start_time;
   answer_hold("w1", {});
   step();
   BOOST_TEST(starts.empty());
@@ -176,16 +182,17 @@
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::active));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_answer_to_an_earlier_call_does_not_bring_a_life_back, lives_harness)
+BOOST_FIXTURE_TEST_CASE(an_answer_to_an_earlier_call_does_not_restore_an_ended_incarnation,
+                        incarnations_harness)
 {
-  run_listed();
+  start_listed_run();
   hold_answer overtaken;
   overtaken.worker = worker("w1").id;
   overtaken.end = call_end::done;
   overtaken.clock = clock();
   overtaken.sent = now;
   overtaken.token = token;
-  overtaken.born = k_first;
+  overtaken.born = k_first_start_time;
   restart();
   pass(milliseconds{5});
   scheduler->hold_answered(overtaken, now);
@@ -193,9 +200,10 @@
   BOOST_TEST(metrics.value(yardhill::common::counter::workers_crashed) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(its_own_newer_token_is_no_later_owner, lives_harness)
+BOOST_FIXTURE_TEST_CASE(a_rejection_because_of_this_owners_newer_token_does_not_mean_a_later_owner,
+                        incarnations_harness)
 {
-  const start_command before = run_listed();
+  const start_command before = start_listed_run();
   commit();
   restart();
   answer_start(before, call_end::fenced);
@@ -206,58 +214,61 @@
   BOOST_TEST(scheduler->fenced());
 }
 
-// An entry may be a late one or another writer's, so it names no life; but nothing new is meant for
-// a worker whose kind and room only such an entry tells.
-BOOST_FIXTURE_TEST_CASE(an_entry_of_another_life_is_not_used_until_that_life_answers, lives_harness)
+// An entry may be late or come from another writer, so it does not prove which incarnation is
+// there. But nothing new is placed on a worker whose kind and capacity are known from such an entry
+// alone.
+BOOST_FIXTURE_TEST_CASE(an_entry_of_another_incarnation_is_not_used_until_that_one_answers,
+                        incarnations_harness)
 {
-  scheduler->worker_entry(born_at(k_second), now);
+  scheduler->worker_entry(born_at(k_second_start_time), now);
   step();
   BOOST_TEST(!holds.empty());
   BOOST_TEST(metrics.value(yardhill::common::counter::workers_crashed) == 0U);
   start_job(k_job, step_of(1));
   BOOST_TEST(starts.empty());
-  scheduler->worker_entry(born_at(k_first), now);
+  scheduler->worker_entry(born_at(k_first_start_time), now);
   step();
   commit_and_step();
   BOOST_TEST(starts.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_life_without_an_entry_of_its_own_gets_nothing_new, lives_harness)
+BOOST_FIXTURE_TEST_CASE(an_incarnation_without_an_entry_of_its_own_gets_nothing_new,
+                        incarnations_harness)
 {
   restart();
   answer_hold("w1", {});
   commit_and_step();
   start_job(k_job, step_of(1));
   BOOST_TEST(starts.empty());
-  scheduler->worker_entry(born_at(k_second), now);
+  scheduler->worker_entry(born_at(k_second_start_time), now);
   step();
   commit_and_step();
   BOOST_TEST(starts.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(claims_say_which_life_they_are_of, lives_harness)
+BOOST_FIXTURE_TEST_CASE(claims_name_their_incarnation, incarnations_harness)
 {
   restart();
   answer_hold("w1", {});
   const commit_batch batch = scheduler->take_commit(100, now);
   BOOST_TEST_REQUIRE(batch.claims.contains(worker("w1").id));
-  BOOST_TEST((batch.claims.at(worker("w1").id).born == k_second));
+  BOOST_TEST((batch.claims.at(worker("w1").id).born == k_second_start_time));
 }
 
-BOOST_FIXTURE_TEST_CASE(what_a_claim_of_an_earlier_life_tells_of_has_ended, claimed_harness)
+BOOST_FIXTURE_TEST_CASE(runs_claimed_in_an_earlier_incarnation_have_ended, claimed_harness)
 {
-  born = k_second;
-  scheduler->worker_entry(born_at(k_second), now);
+  born = k_second_start_time;
+  scheduler->worker_entry(born_at(k_second_start_time), now);
   answer_hold("w1", {});
   commit_and_step();
   commit_and_step();
   BOOST_TEST(starts.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_the_claimed_life_still_runs_is_taken_over, claimed_harness)
+BOOST_FIXTURE_TEST_CASE(runs_of_the_claimed_incarnation_are_taken_over, claimed_harness)
 {
-  born = k_first;
-  scheduler->worker_entry(born_at(k_first), now);
+  born = k_first_start_time;
+  scheduler->worker_entry(born_at(k_first_start_time), now);
   answer_hold("w1", {earlier_run()});
   commit_and_step();
   commit_and_step();
