--- a/Source/Core/Scheduling/CopyWatch.h
+++ b/Source/Core/Scheduling/CopyWatch.h
@@ -30,7 +30,7 @@
 
   // Keeps the listed end from being acknowledged while another run of the task may still begin.
   void record_end(worker_record& worker, const listed_end& end, time_point now);
-  // The highest end up to which the worker may be told to forget its ends.
+  // The highest end that may be acknowledged; the worker then forgets all ends up to it.
   end_number acknowledgeable(worker_record& worker, time_point now) const;
   // Completes a job of which all tasks are done: at once, or as soon as no copy may begin any more.
   void complete(job_record& job, time_point now);
--- a/Source/Core/Scheduling/WorkerRecord.cpp
+++ b/Source/Core/Scheduling/WorkerRecord.cpp
@@ -74,9 +74,9 @@
 
 common::resources required_resources(const jobs::step_spec& step)
 {
-  common::resources room = step.demand;
+  common::resources required = step.demand;
   if (step.fills_idle)
-    room.cpu_millis = 0;
-  return room;
+    required.cpu_millis = 0;
+  return required;
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/WorkerRecord.h
+++ b/Source/Core/Scheduling/WorkerRecord.h
@@ -72,7 +72,7 @@
   task_ref ref() const { return {job->id(), place}; }
 };
 
-// The end of a run that its worker must not be told to forget yet.
+// The end of a run that must not be acknowledged yet, since its worker would forget it.
 struct kept_end
 {
   task_ref task;
@@ -132,7 +132,7 @@
 
   end_number seen = 0;         // the highest end applied in memory
   end_number durable = 0;      // the highest end whose effect is written to the store
-  end_number acknowledged = 0; // the highest end that the worker has been told to forget
+  end_number acknowledged = 0; // the highest end acknowledged by a hold that was answered
 
   std::map<end_number, kept_end> kept_ends; // none of them is acknowledged
 
--- a/Source/UnitTests/Scheduling/CrashWatchTest.cpp
+++ b/Source/UnitTests/Scheduling/CrashWatchTest.cpp
@@ -31,11 +31,11 @@
   }
 
   // Answers the start request; 10 ms later another worker has the address.
-  void crash_worker_of(const start_command& order)
+  void crash_worker_of(const start_command& request)
   {
-    answer_start(order, call_end::done);
+    answer_start(request, call_end::done);
     pass(milliseconds{10});
-    end_incarnation(order.worker);
+    end_incarnation(request.worker);
   }
 
   void end_incarnation(const worker_id& id)
@@ -162,14 +162,14 @@
 {
   add_workers(1);
   start_job(k_other_job, step_of(1));
-  const start_command neighbour = starts.front();
-  answer_start(neighbour, call_end::done);
+  const start_command earlier_start = starts.front();
+  answer_start(earlier_start, call_end::done);
   pass(seconds{1});
-  answer_hold("w1", {running(neighbour)});
+  answer_hold("w1", {running(earlier_start)});
   clear();
   start_job(k_job, step_of(1));
-  const start_command guilty = starts.front();
-  crash_worker_of(guilty);
+  const start_command crashing_start = starts.front();
+  crash_worker_of(crashing_start);
   const commit_batch batch = scheduler->take_commit(1000, now);
   BOOST_TEST(history_of(jobs::job_progress_from(batch.rows.at(k_job))).crashes.blamed.size() == 1U);
   const jobs::crash_history other =
@@ -339,15 +339,15 @@
     first_starts.push_back(starts.front());
     clear();
   }
-  for (const start_command& order : first_starts)
+  for (const start_command& request : first_starts)
   {
-    answer_start(order, call_end::done);
+    answer_start(request, call_end::done);
     pass(milliseconds{10});
-    fail_hold(order.worker.value, call_end::unanswered);
+    fail_hold(request.worker.value, call_end::unanswered);
   }
   pass(seconds{3});
-  for (const start_command& order : first_starts)
-    end_incarnation(order.worker);
+  for (const start_command& request : first_starts)
+    end_incarnation(request.worker);
   const jobs::crash_history crashes = history_of(written_progress(*this)).crashes;
   BOOST_TEST(crashes.by_chance == 0U);
   BOOST_TEST(crashes.blamed.size() == 1U);
--- a/Source/UnitTests/Scheduling/WorkerLivesTest.cpp
+++ b/Source/UnitTests/Scheduling/WorkerLivesTest.cpp
@@ -41,13 +41,13 @@
   {
     start_job(k_job, step_of(1));
     BOOST_TEST_REQUIRE(starts.size() == 1U);
-    start_command order = starts.front();
-    answer_start(order, call_end::done);
+    start_command request = starts.front();
+    answer_start(request, call_end::done);
     pass(milliseconds{10});
-    answer_hold("w1", {running(order)});
+    answer_hold("w1", {running(request)});
     step();
     clear();
-    return order;
+    return request;
   }
 
   // Answers as another incarnation to a call that is sent now.
@@ -167,16 +167,16 @@
 {
   start_job(k_job, step_of(1));
   BOOST_TEST_REQUIRE(starts.size() == 1U);
-  const start_command order = starts.front();
+  const start_command request = starts.front();
   clear();
-  answer_start(order, call_end::unanswered);
+  answer_start(request, call_end::unanswered);
   add_worker(worker("w2")); // with capacity for the task
   pass(milliseconds{500});
   born = k_second_start_time;
   answer_hold("w1", {});
   step();
   BOOST_TEST(starts.empty());
-  answer_hold("w1", {running(order)});
+  answer_hold("w1", {running(request)});
   step();
   BOOST_TEST(starts.empty());
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::active));
