--- a/Source/Core/Scheduling/WorkerRecord.cpp
+++ b/Source/Core/Scheduling/WorkerRecord.cpp
@@ -13,15 +13,15 @@
          clock_ahead.value_or(milliseconds{0});
 }
 
-void worker_record::begin_life(std::uint64_t its_number)
+void worker_record::begin_incarnation(std::uint64_t incarnation_number)
 {
-  static_cast<worker_life&>(*this) = {};
-  number = its_number;
+  static_cast<worker_incarnation&>(*this) = {};
+  number = incarnation_number;
   for (const auto& [task, run] : runs)
     run->orphaned = true;
 }
 
-void worker_record::set_suspect(bool silent, time_point now)
+void worker_record::set_unresponsive(bool silent, time_point now)
 {
   if (silent && !unresponsive)
     silent_since = now;
@@ -31,19 +31,19 @@
 void worker_record::note_order(bool answered, unsigned most_unanswered, time_point now)
 {
   unanswered = answered ? 0 : unanswered + 1;
-  life_doubted |= !answered;
+  incarnation_uncertain |= !answered;
   if (answered || unanswered >= most_unanswered)
-    set_suspect(!answered, now);
+    set_unresponsive(!answered, now);
 }
 
-bool worker_record::should_close_claim(duration patience, time_point now) const
+bool worker_record::should_close_claim(duration timeout, time_point now) const
 {
-  return info.draining || silent_for(patience, now);
+  return info.draining || silent_for(timeout, now);
 }
 
-bool worker_record::silent_for(duration patience, time_point now) const
+bool worker_record::silent_for(duration timeout, time_point now) const
 {
-  return unresponsive && now - silent_since >= patience;
+  return unresponsive && now - silent_since >= timeout;
 }
 
 bool worker_record::silent_after_start(duration within, time_point now) const
@@ -55,7 +55,7 @@
 }
 
 std::uint32_t worker_record::count_runs_of_step(const job_record& job, std::uint32_t cycle,
-                                      std::uint32_t step) const
+                                                std::uint32_t step) const
 {
   const auto first = runs.lower_bound({job.id(), {cycle, step, 0}});
   std::uint32_t count = 0;
@@ -74,9 +74,9 @@
 
 common::resources required_resources(const jobs::step_spec& step)
 {
-  common::resources room = step.demand;
+  common::resources required = step.demand;
   if (step.fills_idle)
-    room.cpu_millis = 0;
-  return room;
+    required.cpu_millis = 0;
+  return required;
 }
 } // namespace yardhill::scheduling
