--- a/Source/Core/Scheduling/JobScheduler.cpp
+++ b/Source/Core/Scheduling/JobScheduler.cpp
@@ -386,7 +386,7 @@
 duration job_scheduler::pass_spacing() const
 {
   const duration by_workers = m_state.options.pass_spacing_a_worker * m_state.workers.size();
-  const duration by_steps = m_state.options.pass_spacing_a_step * m_placer.looked_at();
+  const duration by_steps = m_state.options.pass_spacing_a_step * m_placer.steps_examined();
   return std::max(m_state.options.pass_spacing_least, by_workers + by_steps);
 }
 
--- a/Source/Core/Scheduling/JobScheduler.h
+++ b/Source/Core/Scheduling/JobScheduler.h
@@ -115,7 +115,7 @@
   // How long after one tick the next one is due, when something has happened.
   duration pass_spacing() const;
   // Waiting steps that the latest pass looked at.
-  std::size_t steps_looked_at() const { return m_placer.looked_at(); }
+  std::size_t steps_looked_at() const { return m_placer.steps_examined(); }
 
   // Whether orders may be given: no other owner can have come long ago.
   bool may_act(time_point now) const { return m_state.may_act(now); }
--- a/Source/Core/Scheduling/Placer.h
+++ b/Source/Core/Scheduling/Placer.h
@@ -25,7 +25,7 @@
   // One pass over all waiting steps; with a survey of what runs, also over tasks that are late.
   void place(time_point now, bool survey);
   // How many waiting steps the latest pass looked at.
-  std::size_t looked_at() const { return m_looked_at; }
+  std::size_t steps_examined() const { return m_looked_at; }
   // Where a task would be started now; null if no worker has room and a ticket.
   worker_record* worker_for(job_record& job, const task_place& place, time_point now) const
   {
--- a/Source/Core/Scheduling/SchedulerState.h
+++ b/Source/Core/Scheduling/SchedulerState.h
@@ -19,7 +19,7 @@
 #include "Scheduling/RuntimeModel.h"
 #include "Scheduling/SchedulerOptions.h"
 #include "Scheduling/StartBudget.h"
-#include "Scheduling/StartOutlook.h"
+#include "Scheduling/StartWaitEstimator.h"
 #include "Scheduling/WorkerRecord.h"
 
 namespace yardhill::scheduling
@@ -34,7 +34,7 @@
   scheduler_options options;
   common::metrics& metrics;
   start_budget starts;
-  start_outlook outlook;
+  start_wait_estimator outlook;
   runtime_model runtimes;
   std::unordered_map<std::string, std::unique_ptr<job_record>> jobs;
   // Every pass walks them, and few come or go.
--- a/Source/Core/Scheduling/StartOutlook.cpp
+++ b/Source/Core/Scheduling/StartWaitEstimator.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Scheduling/StartOutlook.h"
+#include "Scheduling/StartWaitEstimator.h"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 
 namespace yardhill::scheduling
 {
-void start_outlook::first_start(std::uint32_t priority, time_point now)
+void start_wait_estimator::first_start(std::uint32_t priority, time_point now)
 {
   std::deque<time_point>& starts = m_first_starts[priority];
   starts.push_back(now);
@@ -17,7 +17,7 @@
     starts.pop_front();
 }
 
-void start_outlook::pass_ended(bool short_of_starts, time_point now)
+void start_wait_estimator::pass_ended(bool short_of_starts, time_point now)
 {
   if (!m_since)
     m_since = now;
@@ -37,7 +37,7 @@
   set_overloaded(false);
 }
 
-void start_outlook::set_overloaded(bool overloaded)
+void start_wait_estimator::set_overloaded(bool overloaded)
 {
   if (overloaded == m_overloaded)
     return;
@@ -46,7 +46,8 @@
 }
 
 std::map<std::uint32_t, std::chrono::milliseconds>
-start_outlook::waits(const std::map<std::uint32_t, std::uint64_t>& waiting, time_point now) const
+start_wait_estimator::waits(const std::map<std::uint32_t, std::uint64_t>& waiting,
+                            time_point now) const
 {
   std::map<std::uint32_t, std::chrono::milliseconds> waits;
   if (!m_overloaded)
--- a/Source/Core/Scheduling/StartOutlook.h
+++ b/Source/Core/Scheduling/StartWaitEstimator.h
@@ -19,7 +19,7 @@
 using common::duration;
 using common::time_point;
 
-class start_outlook
+class start_wait_estimator
 {
 public:
   // First starts are counted over so long.
--- a/Source/UnitTests/Scheduling/StartOutlookTest.cpp
+++ b/Source/UnitTests/Scheduling/StartWaitEstimatorTest.cpp
@@ -70,7 +70,7 @@
 };
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(StartOutlookTest)
+BOOST_AUTO_TEST_SUITE(StartWaitEstimatorTest)
 
 BOOST_FIXTURE_TEST_CASE(full_workers_are_no_overload, loaded)
 {
