--- a/Source/UnitTests/Scheduling/MeasuresTest.cpp
+++ b/Source/UnitTests/Scheduling/StartMetricsTest.cpp
@@ -37,7 +37,7 @@
 };
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(MeasuresTest)
+BOOST_AUTO_TEST_SUITE(StartMetricsTest)
 
 BOOST_AUTO_TEST_CASE(the_time_to_the_first_start_is_told_by_kind)
 {
