--- a/Source/Core/Scheduling/AdvicePlanner.cpp
+++ b/Source/Core/Scheduling/AdvicePlanner.cpp
@@ -12,12 +12,15 @@
 namespace
 {
 const std::string k_no_ticket;
-// An answer that comes later than its time and this was held up on its way: its tickets are older.
-constexpr milliseconds k_answer_way{200};
-// Tickets for a worker that is kept for a step are there this long before the room should be.
-constexpr milliseconds k_before_room{300};
-// Workers' clocks may run 2 % slow, and tickets live for some seconds.
-constexpr milliseconds k_slow_ticket{100};
+// A reply that arrives later than its expected duration plus this limit was delayed on its way, so
+// its tickets were issued earlier than it arrived.
+constexpr milliseconds k_reply_delay_limit{200};
+// Tickets for a worker that is reserved for a step are requested so that they arrive this long
+// before the capacity should be free.
+constexpr milliseconds k_ticket_lead_time{300};
+// Covers the drift of a worker's clock over a ticket's validity: clocks may run 2 % slow, and
+// tickets are valid for some seconds.
+constexpr milliseconds k_clock_drift_allowance{100};
 
 bool is_long(const jobs::queue_policy::advice_policy& policy)
 {
@@ -26,12 +29,12 @@
 } // namespace
 
 advice_planner::advice_planner(scheduler_state& state, const zone_chooser& zones,
-                               const reservations& kept)
-    : m_state(state), m_zones(zones), m_reservations(kept)
+                               const reservations& reserved)
+    : m_state(state), m_zones(zones), m_reservations(reserved)
 {
 }
 
-bool suits(const worker_record& worker, const job_record& job, const step_record& step)
+bool meets_requirements(const worker_record& worker, const job_record& job, const step_record& step)
 {
   return worker.offered() && worker.claimed && worker.claim_open() &&
          worker.info.service == job.policy().service &&
@@ -39,13 +42,13 @@
          room_of(*step.spec).fits_in(worker.info.capacity);
 }
 
-bool ruled_out(const step_record& step, const worker_id& worker)
+bool policy_forbids(const step_record& step, const worker_id& worker)
 {
   const auto known = step.permits.permitted.find(worker);
   return known != step.permits.permitted.end() && !known->second;
 }
 
-bool advice_planner::in_time(const step_permits::ticket& ticket, time_point now) const
+bool advice_planner::valid_on_arrival(const step_permits::ticket& ticket, time_point now) const
 {
   return ticket.until - m_state.order_round_trip > now;
 }
@@ -56,39 +59,43 @@
   if (!job.policy().advice)
     return &k_no_ticket;
   const auto found = step.permits.tickets.find(worker);
-  if (found == step.permits.tickets.end() || !in_time(found->second, now))
+  if (found == step.permits.tickets.end() || !valid_on_arrival(found->second, now))
     return nullptr;
   return &found->second.text;
 }
 
-std::optional<time_point> advice_planner::ticket_over(const job_record& job,
-                                                      const step_record& step,
-                                                      const worker_id& worker) const
+std::optional<time_point> advice_planner::ticket_expiry(const job_record& job,
+                                                        const step_record& step,
+                                                        const worker_id& worker) const
 {
   const auto found = step.permits.tickets.find(worker);
   if (!job.policy().advice || found == step.permits.tickets.end())
     return std::nullopt;
-  return found->second.until + m_state.options.ticket_margin + k_slow_ticket;
+  return found->second.until + m_state.options.ticket_margin + k_clock_drift_allowance;
 }
 
-// At first and ahead of time any suitable worker is worth asking about, the emptiest first; later
-// only those with room, since a ticket does not live long enough to wait for it.
-std::vector<worker_id> advice_planner::worth_asking(const job_record& job, const step_ref& which,
-                                                    occasion why, time_point now) const
+// For the first long call and for steps that are not ready yet, all suitable workers are
+// candidates, the ones with the most free processors first. Otherwise only those with free capacity
+// are, since a ticket expires before a full worker has capacity again.
+std::vector<worker_id> advice_planner::candidate_workers(const job_record& job,
+                                                         const step_ref& which,
+                                                         request_reason reason,
+                                                         time_point now) const
 {
   const step_record& step = job.cycles()[which.cycle].steps[which.step];
   std::vector<const worker_record*> candidates;
   for (const auto& [id, worker] : m_state.workers)
   {
-    // What most workers lack while steps wait comes first.
-    if (worker->suspect || (why == occasion::waiting && !room_in_time(*worker, job, which, now)))
+    // Checked first because most workers have no free capacity while steps wait.
+    if (worker->suspect ||
+        (reason == request_reason::waiting && !has_capacity_in_time(*worker, job, which, now)))
       continue;
-    if (!suits(*worker, job, step) || !step.begun.covers(worker->info.zone) ||
+    if (!meets_requirements(*worker, job, step) || !step.begun.covers(worker->info.zone) ||
         ticket(job, step, id, now) != nullptr)
       continue;
-    if (why == occasion::waiting && !m_state.usable(*worker, now))
+    if (reason == request_reason::waiting && !m_state.usable(*worker, now))
       continue;
-    if (ruled_out(step, id))
+    if (policy_forbids(step, id))
       continue;
     candidates.push_back(worker.get());
   }
@@ -104,95 +111,97 @@
   return ids;
 }
 
-bool advice_planner::room_in_time(const worker_record& worker, const job_record& job,
-                                  const step_ref& which, time_point now) const
+bool advice_planner::has_capacity_in_time(const worker_record& worker, const job_record& job,
+                                          const step_ref& which, time_point now) const
 {
   const step_record& step = job.cycles()[which.cycle].steps[which.step];
   if (room_of(*step.spec).fits_in(worker.free()))
     return m_reservations.allows(worker, job, step, now) ||
-           m_reservations.expected(which, worker.info.id).has_value();
-  const auto expected = m_reservations.expected(which, worker.info.id);
-  return expected && *expected - now <= job.policy().advice->per_call + k_before_room;
+           m_reservations.expected_free_time(which, worker.info.id).has_value();
+  const auto expected = m_reservations.expected_free_time(which, worker.info.id);
+  return expected && *expected - now <= job.policy().advice->per_call + k_ticket_lead_time;
 }
 
 void advice_planner::want(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now)
 {
-  const step_record& in = job.cycles()[cycle].steps[step];
+  const step_record& record = job.cycles()[cycle].steps[step];
   if (!job.policy().advice)
     return;
-  // What a long call costs hardly depends on how many workers it names, and who is permitted does
-  // not change: the first one asks about all, with room or without.
-  if (is_long(*job.policy().advice) && in.permits.permitted.empty())
+  // The duration of a long call hardly depends on the number of workers it names, and permissions
+  // do not change. So the first long call asks about all workers, also those without free capacity.
+  if (is_long(*job.policy().advice) && record.permits.permitted.empty())
   {
-    ask(job, cycle, step, occasion::first_long, now);
+    send_request(job, cycle, step, request_reason::first_long_call, now);
     return;
   }
-  if (m_budget <= 0)
+  if (m_cpu_budget <= 0)
     return;
-  m_budget -= static_cast<std::int64_t>(in.waiting) * room_of(*in.spec).cpu_millis;
-  ask(job, cycle, step, occasion::waiting, now);
+  m_cpu_budget -= static_cast<std::int64_t>(record.waiting) * room_of(*record.spec).cpu_millis;
+  send_request(job, cycle, step, request_reason::waiting, now);
 }
 
-void advice_planner::want_in_turn(job_record& job, std::uint32_t cycle, std::uint32_t step,
-                                  time_point now)
+void advice_planner::request_overdue(job_record& job, std::uint32_t cycle, std::uint32_t step,
+                                     time_point now)
 {
-  const bool first_long =
+  const bool first_long_call =
       is_long(*job.policy().advice) && job.cycles()[cycle].steps[step].permits.permitted.empty();
-  ask(job, cycle, step, first_long ? occasion::first_long : occasion::waiting, now);
+  send_request(job, cycle, step,
+               first_long_call ? request_reason::first_long_call : request_reason::waiting, now);
 }
 
-void advice_planner::ask(job_record& job, std::uint32_t cycle, std::uint32_t step, occasion why,
-                         time_point now)
+void advice_planner::send_request(job_record& job, std::uint32_t cycle, std::uint32_t step,
+                                  request_reason reason, time_point now)
 {
-  step_record& in = job.cycles()[cycle].steps[step];
-  step_permits& permits = in.permits;
+  step_record& record = job.cycles()[cycle].steps[step];
+  step_permits& permits = record.permits;
   if (!job.policy().advice || permits.asking || now < permits.ask_after)
     return;
-  const bool long_call = is_long(*job.policy().advice);
-  const auto taken =
-      std::count_if(m_under_way.begin(), m_under_way.end(),
-                    [long_call](const auto& each) { return each.second.is_long == long_call; });
-  if (static_cast<std::size_t>(taken) >= (long_call ? m_slots.long_calls : m_slots.short_calls))
+  const bool is_long_call = is_long(*job.policy().advice);
+  const auto in_flight = std::count_if(m_in_flight.begin(), m_in_flight.end(),
+                                       [is_long_call](const auto& each)
+                                       { return each.second.is_long == is_long_call; });
+  if (static_cast<std::size_t>(in_flight) >=
+      (is_long_call ? m_call_slots.long_calls : m_call_slots.short_calls))
     return;
   permits.latest_turn = now;
-  // Written while the advice is on its way.
-  if (in.begun.mark == begin_mark::none)
-    m_state.want_begun(job, in, m_zones.choose(job, cycle, step, now));
-  std::vector<worker_id> workers = worth_asking(job, {job.id(), cycle, step}, why, now);
+  // The begin mark is written while the request is in flight, to save time.
+  if (record.begun.mark == begin_mark::none)
+    m_state.want_begun(job, record, m_zones.choose(job, cycle, step, now));
+  std::vector<worker_id> workers = candidate_workers(job, {job.id(), cycle, step}, reason, now);
   if (workers.empty())
   {
-    // Its zone has no worker for it, or none with room.
-    if (why != occasion::ahead)
-      m_state.want_anywhere(job, in);
+    // The step's zone has no suitable worker, or none with free capacity.
+    if (reason != request_reason::ahead)
+      m_state.want_anywhere(job, record);
     return;
   }
   permits.asking = true;
-  const auto expected =
+  const auto expected_duration =
       job.policy().advice->per_call +
       std::chrono::duration_cast<milliseconds>(job.policy().advice->per_worker * workers.size());
-  question& asked = m_under_way[{job.id(), cycle, step}];
-  asked = {long_call, now + expected + k_answer_way, {}};
+  pending_request& request = m_in_flight[{job.id(), cycle, step}];
+  request = {is_long_call, now + expected_duration + k_reply_delay_limit, {}};
   for (const worker_id& worker : workers)
-    asked.lives[worker] = m_state.workers.at(worker)->number;
+    request.incarnations[worker] = m_state.workers.at(worker)->number;
   m_state.commands.emplace_back(
-      advice_command{{job.id(), cycle, step}, std::move(workers), expected});
+      advice_command{{job.id(), cycle, step}, std::move(workers), expected_duration});
 }
 
-bool advice_planner::soon(job_record& job, std::uint32_t cycle, std::uint32_t step,
-                          time_point now) const
+bool advice_planner::ready_soon(job_record& job, std::uint32_t cycle, std::uint32_t step,
+                                time_point now) const
 {
   for (const std::uint32_t needed : job.cycles()[cycle].steps[step].spec->depends_on)
   {
-    step_record& before = job.cycles()[cycle].steps[needed];
-    if (before.complete())
+    step_record& dependency = job.cycles()[cycle].steps[needed];
+    if (dependency.complete())
       continue;
-    for (const task_record& task : before.tasks)
+    for (const task_record& task : dependency.tasks)
     {
       if (task.phase == task_phase::done)
         continue;
       if (task.runs.empty())
         return false;
-      const time_point expected_end = task.runs.front()->begun + before.spec->estimate;
+      const time_point expected_end = task.runs.front()->begun + dependency.spec->estimate;
       if (expected_end > now + m_state.options.advice_ahead)
         return false;
     }
@@ -214,28 +223,28 @@
       const bool any_ticket =
           std::any_of(step.permits.tickets.begin(), step.permits.tickets.end(),
                       [now](const auto& each) { return each.second.until > now; });
-      if (!any_ticket && soon(job, c, s, now))
-        ask(job, c, s, occasion::ahead, now);
+      if (!any_ticket && ready_soon(job, c, s, now))
+        send_request(job, c, s, request_reason::ahead, now);
     }
   }
 }
 
-bool advice_planner::same_life(const question& asked, const worker_id& worker) const
+bool advice_planner::same_incarnation(const pending_request& request, const worker_id& worker) const
 {
-  const auto life = asked.lives.find(worker);
+  const auto requested = request.incarnations.find(worker);
   const auto present = m_state.workers.find(worker);
-  return life != asked.lives.end() && present != m_state.workers.end() &&
-         present->second->number == life->second;
+  return requested != request.incarnations.end() && present != m_state.workers.end() &&
+         present->second->number == requested->second;
 }
 
 void advice_planner::on_answer(const advice_answer& answer, time_point now)
 {
   time_point issued = answer.received;
-  question asked;
-  if (auto found = m_under_way.extract(answer.step); !found.empty())
+  pending_request request;
+  if (auto found = m_in_flight.extract(answer.step); !found.empty())
   {
-    asked = std::move(found.mapped());
-    issued = std::min(issued, asked.answer_due);
+    request = std::move(found.mapped());
+    issued = std::min(issued, request.reply_due);
   }
   m_state.place_again = true;
   job_record* const job = m_state.find_job(answer.step.job);
@@ -250,7 +259,7 @@
   }
   for (const worker_id& worker : answer.asked)
   {
-    if (same_life(asked, worker))
+    if (same_incarnation(request, worker))
       permits.permitted[worker] = false;
   }
   for (auto each = permits.tickets.begin(); each != permits.tickets.end();)
@@ -258,12 +267,13 @@
   const time_point until = issued + answer.valid - m_state.options.ticket_margin;
   for (const admission_ticket& each : answer.permitted)
   {
-    if (!same_life(asked, each.worker))
+    if (!same_incarnation(request, each.worker))
       continue;
     permits.permitted[each.worker] = true;
     permits.tickets[each.worker] = {each.ticket, until};
   }
-  // No worker may run the step: others may come, or these may be asked about in vain for ever.
+  // The policy permits none of these workers. The next request waits, so that the step does not ask
+  // in vain without a pause; other workers may come.
   if (answer.permitted.empty())
     permits.ask_after = now + m_state.options.advice_retry;
   common::log_request("advice", answer.step.job,
--- a/Source/Core/Scheduling/AdvicePlanner.h
+++ b/Source/Core/Scheduling/AdvicePlanner.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Decides when to ask which workers a queue's policy permits for a step, and keeps the answers.
+// Decides when to request advice, that is, which workers a queue's policy permits for a step, and
+// stores the tickets and permissions of the replies.
 
 #include "Scheduling/Reservations.h"
 #include "Scheduling/SchedulerState.h"
@@ -14,66 +15,75 @@
 class advice_planner
 {
 public:
-  advice_planner(scheduler_state& state, const zone_chooser& zones, const reservations& kept);
+  advice_planner(scheduler_state& state, const zone_chooser& zones, const reservations& reserved);
 
-  // Asks for a step whose tasks wait, about workers that have room for one but no ticket yet.
+  // Requests advice for a step with waiting tasks, about workers that have free capacity for a task
+  // but no ticket yet.
   void want(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now);
-  // From now on, steps are asked for only as long as their tasks would fit into this much free
-  // processor time (thousandths of a core) together.
-  void set_budget(std::int64_t cpu_millis) { m_budget = cpu_millis; }
-  // Asks for steps that should become ready soon.
+  // Limits the requests made by want(): each step's waiting tasks are subtracted from this free
+  // processor capacity (thousandths of a core), and nothing is requested once it is used up.
+  void set_budget(std::int64_t cpu_millis) { m_cpu_budget = cpu_millis; }
+  // Requests advice for steps of the job that should become ready soon.
   void look_ahead(job_record& job, time_point now);
-  // The same for a step that has waited for its turn, whatever room more urgent ones may use.
-  void want_in_turn(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now);
+  // Like want(), for a step that has not been asked about for too long. It ignores the budget,
+  // which more urgent steps may have used up.
+  void request_overdue(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now);
+  // Stores the tickets and permissions of a reply. Delays the step's next request if there was no
+  // reply or the policy permits none of the workers.
   void on_answer(const advice_answer& answer, time_point now);
-  void set_slots(const advice_slots& slots) { m_slots = slots; }
-  // The ticket to start a task of the step on that worker; null if there is none. An empty text
-  // where the queue needs none.
+  // Limits how many long and short advice calls may be in flight.
+  void set_slots(const advice_slots& slots) { m_call_slots = slots; }
+  // The ticket to start a task of the step on that worker; null if there is no valid one. An empty
+  // string if the queue needs no tickets.
   const std::string* ticket(const job_record& job, const step_record& step, const worker_id& worker,
                             time_point now) const;
-  // Whether a start that is sent now arrives while the ticket holds.
-  bool in_time(const step_permits::ticket& ticket, time_point now) const;
-  // When that ticket is surely over at the worker; none if the queue needs none.
-  std::optional<time_point> ticket_over(const job_record& job, const step_record& step,
-                                        const worker_id& worker) const;
+  // Whether a start request that is sent now should arrive while the ticket is still valid.
+  bool valid_on_arrival(const step_permits::ticket& ticket, time_point now) const;
+  // When the worker surely regards that ticket as expired; none if there is no ticket or the queue
+  // needs none.
+  std::optional<time_point> ticket_expiry(const job_record& job, const step_record& step,
+                                          const worker_id& worker) const;
 
 private:
-  // Why a step is asked about.
-  enum class occasion
+  // Why advice is requested for a step.
+  enum class request_reason
   {
-    first_long, // its tasks wait, and nothing is known yet
-    waiting,    // its tasks wait
-    ahead       // it should become ready soon
+    first_long_call, // its tasks wait, calls are slow, and no permissions are known yet
+    waiting,         // its tasks wait
+    ahead            // it should become ready soon
   };
 
-  struct question
+  struct pending_request
   {
     bool is_long = false;
-    time_point answer_due;
-    std::map<worker_id, std::uint64_t> lives; // of the workers named, as they were
+    time_point reply_due;
+    std::map<worker_id, std::uint64_t> incarnations; // of the workers asked about, when asked
   };
 
-  std::vector<worker_id> worth_asking(const job_record& job, const step_ref& which, occasion why,
-                                      time_point now) const;
-  // Whether the worker has room for a task of the step, or is kept for it and should have room when
-  // the answer comes.
-  bool room_in_time(const worker_record& worker, const job_record& job, const step_ref& which,
-                    time_point now) const;
-  void ask(job_record& job, std::uint32_t cycle, std::uint32_t step, occasion why, time_point now);
-  // Whether that is the life that was asked about.
-  bool same_life(const question& asked, const worker_id& worker) const;
-  bool soon(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now) const;
+  std::vector<worker_id> candidate_workers(const job_record& job, const step_ref& which,
+                                           request_reason reason, time_point now) const;
+  // Whether the worker has free capacity for a task of the step, or is reserved for the step and
+  // should have the capacity when the reply arrives.
+  bool has_capacity_in_time(const worker_record& worker, const job_record& job,
+                            const step_ref& which, time_point now) const;
+  void send_request(job_record& job, std::uint32_t cycle, std::uint32_t step, request_reason reason,
+                    time_point now);
+  // Whether the worker's present incarnation is the one that the request was about.
+  bool same_incarnation(const pending_request& request, const worker_id& worker) const;
+  bool ready_soon(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now) const;
 
   scheduler_state& m_state;
   const zone_chooser& m_zones;
   const reservations& m_reservations;
-  std::int64_t m_budget = 0;
-  advice_slots m_slots;
-  std::map<step_ref, question> m_under_way;
+  std::int64_t m_cpu_budget = 0;
+  advice_slots m_call_slots;
+  std::map<step_ref, pending_request> m_in_flight;
 };
 
-// Whether a task of the step may run on the worker at all, its present load left aside.
-bool suits(const worker_record& worker, const job_record& job, const step_record& step);
-// Whether the queue's policy is known not to permit the step on the worker.
-bool ruled_out(const step_record& step, const worker_id& worker);
+// Whether the worker could run a task of the step at all (service, label, capacity, valid claim),
+// regardless of its present load.
+bool meets_requirements(const worker_record& worker, const job_record& job,
+                        const step_record& step);
+// Whether an earlier reply said that the queue's policy does not permit the step on the worker.
+bool policy_forbids(const step_record& step, const worker_id& worker);
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/Backlog.cpp
+++ b/Source/Core/Scheduling/Backlog.cpp
@@ -9,7 +9,7 @@
 {
 namespace
 {
-void note_waiting(backlog& sum, job_record& job, jobs::wall_time wall, time_point now)
+void add_waiting_steps(backlog& sum, job_record& job, jobs::wall_time wall, time_point now)
 {
   for (std::uint32_t c = 0; c < job.cycles().size(); ++c)
   {
@@ -36,21 +36,21 @@
 } // namespace
 
 backlog update_backlog(scheduler_state& state, const worker_holder& holder,
-                       const wait_report& lasting, time_point now)
+                       const wait_report& waits, time_point now)
 {
   backlog sum;
-  sum.lasting_waiting = lasting.waiting();
-  sum.lasting_wait = lasting.longest();
+  sum.long_running_waiting = waits.waiting();
+  sum.longest_long_running_wait = waits.longest();
   for (const auto& [id, worker] : state.workers)
   {
     const duration overdue = holder.overdue(*worker, now);
     sum.holds_overdue += overdue > duration{0} ? 1 : 0;
-    sum.hold_overdue = std::max(sum.hold_overdue, overdue);
+    sum.max_hold_overdue = std::max(sum.max_hold_overdue, overdue);
     sum.workers_silent += worker->suspect ? 1 : 0;
     sum.ends_kept += worker->kept_ends.size();
   }
   for (const std::string& id : state.open)
-    note_waiting(sum, *state.jobs.at(id), state.wall(now), now);
+    add_waiting_steps(sum, *state.jobs.at(id), state.wall(now), now);
   return sum;
 }
 
@@ -58,12 +58,12 @@
 {
   using common::gauge;
   metrics.set(gauge::holds_overdue, shown.holds_overdue);
-  metrics.set(gauge::hold_overdue_ms, milliseconds_of(shown.hold_overdue));
+  metrics.set(gauge::hold_overdue_ms, milliseconds_of(shown.max_hold_overdue));
   metrics.set(gauge::workers_silent, shown.workers_silent);
   metrics.set(gauge::ends_kept, shown.ends_kept);
   metrics.set(gauge::tasks_waiting, shown.tasks_waiting);
   metrics.set(gauge::oldest_wait_ms, milliseconds_of(shown.oldest_wait));
-  metrics.set(gauge::lasting_waiting, shown.lasting_waiting);
-  metrics.set(gauge::lasting_wait_ms, milliseconds_of(shown.lasting_wait));
+  metrics.set(gauge::lasting_waiting, shown.long_running_waiting);
+  metrics.set(gauge::lasting_wait_ms, milliseconds_of(shown.longest_long_running_wait));
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/Backlog.h
+++ b/Source/Core/Scheduling/Backlog.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// How far a partition's owner is behind: holds that should have been sent, tasks that wait.
+// Measures how far a partition's owner is behind: overdue holds and waiting tasks.
 
 #include <cstdint>
 
@@ -15,19 +15,20 @@
 {
 struct backlog
 {
-  std::uint64_t holds_overdue = 0; // workers
-  duration hold_overdue{0};        // of the one that has waited longest
+  std::uint64_t holds_overdue = 0; // workers whose hold is overdue
+  duration max_hold_overdue{0};    // largest delay of an overdue hold
   std::uint64_t workers_silent = 0;
-  std::uint64_t ends_kept = 0;
-  std::uint64_t tasks_waiting = 0;   // of steps that are ready
-  duration oldest_wait{0};           // of such a step, since this owner has seen it wait
-  std::uint64_t lasting_waiting = 0; // tasks that last and do not run (see wait_report)
-  duration lasting_wait{0};          // of the one that has waited longest
+  std::uint64_t ends_kept = 0;     // ends that their workers must not forget yet
+  std::uint64_t tasks_waiting = 0; // tasks of steps that are ready
+  // Longest wait of a ready step, counted from when this owner first saw the step wait.
+  duration oldest_wait{0};
+  std::uint64_t long_running_waiting = 0; // long-running tasks that do not run (see wait_report)
+  duration longest_long_running_wait{0};  // longest wait of these tasks
 };
 
-// Looks at all workers and steps, and notes since when each step waits.
+// Computes the backlog from all workers and steps, and updates waiting_since of each step.
 backlog update_backlog(scheduler_state& state, const worker_holder& holder,
-                       const wait_report& lasting, time_point now);
-// Shows it as gauges; an empty one where nothing is owned any more.
+                       const wait_report& waits, time_point now);
+// Sets the gauges from the backlog. Pass an empty backlog once nothing is owned any more.
 void publish(const backlog& shown, common::metrics& metrics);
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/PartitionLoad.cpp
+++ b/Source/Core/Scheduling/PartitionLoad.cpp
@@ -18,14 +18,15 @@
   return sum;
 }
 
-// Kinds of workers are few; labels beyond so many are left out.
-constexpr std::size_t k_most_labels = 64;
+// Limit on the number of reported labels; further ones are left out. Few different labels are
+// expected, because there are few kinds of workers.
+constexpr std::size_t k_max_labels = 64;
 
 void add_labels(const worker_info& worker, std::set<std::string>& labels)
 {
   for (const std::string& label : worker.labels)
   {
-    if (label != worker.rack && labels.size() < k_most_labels)
+    if (label != worker.rack && labels.size() < k_max_labels)
       labels.insert(label);
   }
 }
@@ -70,12 +71,13 @@
   for (const std::string& id : state.open)
   {
     const job_record& job = *state.jobs.at(id);
-    // What lasts goes first, and what is worth nothing any more last.
-    const bool ahead = !job.known_begun() && job.accepted().spec.repeats == 0 &&
-                       !job.accepted().spec.long_running() &&
-                       job.prospect(0, now) != job_prospect::none;
-    waiting[job.policy().priority] += ahead ? 1 : 0;
+    // Counts only jobs that a new job has to wait for among the first starts: long-running jobs are
+    // started before all others, and jobs that are worth nothing any more after them.
+    const bool before_new_job = !job.known_begun() && job.accepted().spec.repeats == 0 &&
+                                !job.accepted().spec.long_running() &&
+                                job.prospect(0, now) != job_prospect::none;
+    waiting[job.policy().priority] += before_new_job ? 1 : 0;
   }
-  return state.outlook.waits(waiting, now);
+  return state.outlook.estimated_waits(waiting, now);
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/PartitionLoad.h
+++ b/Source/Core/Scheduling/PartitionLoad.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// How much a partition has to do and what it has for it, as its owner tells others.
+// A partition's demand and capacity, as its owner reports them to other instances.
 
 #include <cstdint>
 #include <map>
@@ -16,22 +16,22 @@
 {
 struct partition_load
 {
-  // Accepted jobs none of whose tasks has begun, by queue.
+  // Number of accepted jobs by queue of which no task is known to have begun.
   std::map<std::string, std::uint64_t> pending;
-  std::uint64_t open_jobs = 0; // that have not ended
-  // Processor time, in thousandths of a core, that waiting tasks ask for, and what workers have.
-  std::int64_t waiting_cpu = 0;
-  std::int64_t free_cpu = 0;
-  std::uint64_t usable_workers = 0; // on which tasks may be started
-  // That workers have, but for the names of their racks.
+  std::uint64_t open_jobs = 0; // jobs that have not ended
+  // Processor capacity in thousandths of a core.
+  std::int64_t waiting_cpu = 0;     // requested by waiting tasks
+  std::int64_t free_cpu = 0;        // free on usable workers
+  std::uint64_t usable_workers = 0; // workers on which tasks may be started
+  // Labels of usable workers, without those that are the name of the worker's rack.
   std::set<std::string> labels;
 
   std::uint64_t queued_jobs() const;
 };
 
 partition_load load_of(const scheduler_state& state);
-// By priority, how long a new job would wait for its first start; empty unless the owner cannot
-// send starts as fast as workers have room for them.
+// Estimated wait of a new job until its first start, by priority. Empty unless the owner is
+// overloaded, that is, cannot send starts as fast as workers have free capacity for them.
 std::map<std::uint32_t, std::chrono::milliseconds> start_waits(const scheduler_state& state,
                                                                time_point now);
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/Placer.cpp
+++ b/Source/Core/Scheduling/Placer.cpp
@@ -12,15 +12,17 @@
 {
 namespace
 {
-// Data on the worker's own rack outweighs any difference in free room, which is at most 1.
+// Score bonus for a worker on the rack that holds the step's data. It exceeds any difference in
+// worker utilization, which is at most 1.
 constexpr double k_data_rack_weight = 2.0;
-// The worker that the task's next run is announced for, if it still is a choice.
+// Score bonus for the worker for which the task's next run is already announced in the job's row.
+// It exceeds all other terms, so that worker is chosen whenever it is still possible.
 constexpr double k_announced_weight = 8.0;
-// A slow worker is the last choice.
+// Score penalty for a slow worker, so that it is chosen only if no other worker can take the task.
 constexpr double k_slow_weight = 4.0;
 
-// By which measure the time from a job's acceptance to its first start is told.
-common::timing waiting_kind(const job_record& job, const jobs::step_spec& step)
+// The metric that records the time from a job's acceptance to its first start.
+common::timing wait_timing(const job_record& job, const jobs::step_spec& step)
 {
   if (step.gang)
     return common::timing::waiting_gang;
@@ -32,8 +34,8 @@
 } // namespace
 
 placer::placer(scheduler_state& state, const zone_chooser& zones, advice_planner& advice,
-               reservations& kept, crash_watch& crashes)
-    : m_state(state), m_zones(zones), m_advice(advice), m_reservations(kept), m_crashes(crashes)
+               reservations& reserved, crash_watch& crashes)
+    : m_state(state), m_zones(zones), m_advice(advice), m_reservations(reserved), m_crashes(crashes)
 {
 }
 
@@ -41,70 +43,71 @@
 {
   if (!m_state.may_place(now))
     return;
-  std::int64_t free = 0;
+  std::int64_t free_cpu_millis = 0;
   for (const auto& [id, worker] : m_state.workers)
-    free += worker->offered() && !worker->suspect ? worker->idle_cpu_millis() : 0;
-  m_advice.set_budget(free);
+    free_cpu_millis += worker->offered() && !worker->suspect ? worker->idle_cpu_millis() : 0;
+  m_advice.set_budget(free_cpu_millis);
   if (survey)
-    avoid_slow_workers(now);
+    mark_slow_workers(now);
   m_reservations.clear();
-  blocked_steps blocked;
-  m_looked_at = 0;
+  blocked_steps blocked_by_queue;
+  m_steps_examined = 0;
   ++m_passes;
-  std::vector<waiting_step> steps = in_order(now);
-  advise_in_turn(steps, now);
+  std::vector<waiting_step> steps = sorted_waiting_steps(now);
+  request_overdue_advice(steps, now);
   bool short_of_starts = false;
   if (m_state.starts.bounded())
     std::stable_sort(steps.begin(), steps.end(),
                      [](const waiting_step& left, const waiting_step& right)
-                     { return turn_while_paced(left) < turn_while_paced(right); });
+                     { return paced_rank(left) < paced_rank(right); });
   for (const waiting_step& each : steps)
   {
-    if (m_state.starts.spent() && !lasts(each))
+    if (m_state.starts.spent() && !is_long_running(each))
     {
       short_of_starts = true;
       break;
     }
-    if (!its_turn(each, blocked))
+    if (!due_in_this_pass(each, blocked_by_queue))
     {
-      ++blocked[each.job->accepted().queue];
+      ++blocked_by_queue[each.job->accepted().queue];
       continue;
     }
-    ++m_looked_at;
-    if (!serve(each, now))
-      ++blocked[each.job->accepted().queue];
+    ++m_steps_examined;
+    if (!place_or_reserve(each, now))
+      ++blocked_by_queue[each.job->accepted().queue];
   }
-  m_state.outlook.pass_ended(short_of_starts, now);
+  m_state.outlook.record_pass(short_of_starts, now);
   if (survey)
     place_copies(now);
 }
 
-bool placer::lasts(const waiting_step& each)
+bool placer::is_long_running(const waiting_step& each)
 {
   return each.job->cycles()[each.cycle].steps[each.step].spec->long_running;
 }
 
-int placer::turn_while_paced(const waiting_step& each)
+int placer::paced_rank(const waiting_step& each)
 {
-  if (lasts(each))
+  if (is_long_running(each))
     return 0;
   return each.job->known_begun() ? 1 : 2;
 }
 
-// The most urgent ones of a queue always have their turn. Of a long backlog the others have it
-// once in a while: most of them wait for the same room, and a look at all of them in each pass took
-// whole cores, so that nothing was placed in time any more.
-bool placer::its_turn(const waiting_step& each, const blocked_steps& blocked) const
+// The most urgent blocked steps of each queue are tried in every pass. The rest of a long backlog
+// is tried in rotation, one window of steps per pass: most of these steps wait for the same
+// capacity, and trying all of them in each pass took whole cores, so that nothing was placed in
+// time.
+bool placer::due_in_this_pass(const waiting_step& each, const blocked_steps& blocked_by_queue) const
 {
-  const auto found = blocked.find(each.job->accepted().queue);
-  const std::size_t before = found == blocked.end() ? 0 : found->second;
-  if (before < m_state.options.blocked_steps_a_pass)
+  const auto found = blocked_by_queue.find(each.job->accepted().queue);
+  const std::size_t blocked_before = found == blocked_by_queue.end() ? 0 : found->second;
+  if (blocked_before < m_state.options.blocked_steps_a_pass)
     return true;
-  return before / m_state.options.backlog_window % m_state.options.backlog_turns ==
+  return blocked_before / m_state.options.backlog_window % m_state.options.backlog_turns ==
          m_passes % m_state.options.backlog_turns;
 }
 
-bool placer::serve(const waiting_step& each, time_point now)
+bool placer::place_or_reserve(const waiting_step& each, time_point now)
 {
   const step_record& step = each.job->cycles()[each.cycle].steps[each.step];
   if (step.spec->gang)
@@ -113,7 +116,7 @@
     place_step(each, now);
   if (step.waiting == 0)
     return true;
-  m_reservations.keep_for(*each.job, each.cycle, each.step, now);
+  m_reservations.reserve_for(*each.job, each.cycle, each.step, now);
   m_advice.want(*each.job, each.cycle, each.step, now);
   return false;
 }
@@ -128,9 +131,11 @@
   return urgency(*this) < urgency(other);
 }
 
-// By priority; within one, jobs that can still be in time, then those that can still earn a part:
-// the most urgent first. Otherwise, once some are late, all that follow would be late too.
-std::vector<placer::waiting_step> placer::in_order(time_point now) const
+// Sorted by priority; within a priority, jobs that can still meet their objective come before late
+// ones that are still worth part of their credit, and those before worthless ones; then by
+// objective, the earliest first. If late jobs came first, all jobs behind them would become late
+// too.
+std::vector<placer::waiting_step> placer::sorted_waiting_steps(time_point now) const
 {
   std::vector<waiting_step> steps;
   for (const std::string& id : m_state.open)
@@ -150,8 +155,8 @@
   return steps;
 }
 
-bool placer::has_room(const worker_record& worker, const job_record& job,
-                      const task_place& place) const
+bool placer::has_free_capacity(const worker_record& worker, const job_record& job,
+                               const task_place& place) const
 {
   const step_record& step = job.cycles()[place.cycle].steps[place.step];
   if (!worker.foreign.empty() || !room_of(*step.spec).fits_in(worker.free()))
@@ -160,10 +165,11 @@
          worker.tasks_of(job, place.cycle, place.step) < step.spec->most_per_worker;
 }
 
-// The fullest worker that still has room, so that others keep room for large tasks. For a task that
-// may crash it the emptiest one: what runs there is lost with it.
-double placer::preference(const worker_record& worker, const step_record& step,
-                          const task_record& task, time_point now) const
+// Best fit: prefers the most utilized worker that can still take the task, so that other workers
+// keep free capacity for large tasks. A task that may crash its worker prefers the least utilized
+// one, because all runs on that worker would be lost with it.
+double placer::placement_score(const worker_record& worker, const step_record& step,
+                               const task_record& task, time_point now) const
 {
   const double share =
       common::dominant_share(worker.used + room_of(*step.spec), worker.info.capacity);
@@ -175,20 +181,20 @@
 }
 
 placer::obstacle placer::obstacle_at(const worker_record& worker, const job_record& job,
-                                     const task_place& place, time_point now, trials how) const
+                                     const task_place& place, time_point now, isolation rule) const
 {
   const step_record& step = job.cycles()[place.cycle].steps[place.step];
   if (!m_state.usable(worker, now))
     return obstacle::unusable;
   if (!step.begun.covers(worker.info.zone))
     return obstacle::other_zone;
-  if (!suits(worker, job, step))
+  if (!meets_requirements(worker, job, step))
     return obstacle::unsuitable;
-  if (!has_room(worker, job, place))
+  if (!has_free_capacity(worker, job, place))
     return obstacle::no_room;
   const task_record& task = step.tasks[place.index];
-  if (how == trials::kept_apart ? !m_crashes.fit(worker, task, now)
-                                : !m_crashes.can_become_fit(worker, task, now))
+  if (rule == isolation::enforced ? !m_crashes.fit(worker, task, now)
+                                  : !m_crashes.can_become_fit(worker, task, now))
     return obstacle::unfit_for_trial;
   if (!m_reservations.allows(worker, job, step, now))
     return obstacle::reserved;
@@ -197,33 +203,34 @@
   return obstacle::none;
 }
 
-// Where a queue's policy names the workers, only those with a ticket are looked at: a few of many.
+// If the queue's policy names the permitted workers, only workers with a ticket are checked, which
+// are few of all workers.
 worker_record* placer::best_worker(job_record& job, const task_place& place, time_point now,
-                                   trials how) const
+                                   isolation rule) const
 {
   const step_record& step = job.step(place);
   const task_record& task = job.task(place);
-  if (how == trials::kept_apart && m_crashes.postponed(task, now))
+  if (rule == isolation::enforced && m_crashes.postponed(task, now))
     return nullptr;
   worker_record* best = nullptr;
-  double best_preference = 0.0;
+  double best_score = 0.0;
   const auto consider = [&](worker_record& worker)
   {
-    // Most have no room while steps wait.
-    if (!has_room(worker, job, place) ||
-        obstacle_at(worker, job, place, now, how) != obstacle::none)
+    // Checked first because it is cheap and most workers have no free capacity while steps wait.
+    if (!has_free_capacity(worker, job, place) ||
+        obstacle_at(worker, job, place, now, rule) != obstacle::none)
       return;
-    const double value = preference(worker, step, task, now);
-    if (best != nullptr && value <= best_preference)
+    const double value = placement_score(worker, step, task, now);
+    if (best != nullptr && value <= best_score)
       return;
     best = &worker;
-    best_preference = value;
+    best_score = value;
   };
   if (job.policy().advice)
   {
     for (const auto& [id, ticket] : step.permits.tickets)
     {
-      if (!m_advice.in_time(ticket, now))
+      if (!m_advice.valid_on_arrival(ticket, now))
         continue;
       if (worker_record* const worker = m_state.find_worker(id))
         consider(*worker);
@@ -235,7 +242,7 @@
   return best;
 }
 
-void placer::note_trial_wanted(job_record& job, const task_place& place, time_point now) const
+void placer::prepare_trial(job_record& job, const task_place& place, time_point now) const
 {
   task_record& task = job.task(place);
   if (m_crashes.postponed(task, now))
@@ -243,18 +250,20 @@
     task.trial_wanted.reset();
     return;
   }
-  const bool kept = m_crashes.keeps_worker_for(task, now);
-  // While a decisive trial waits, there is always a worker that is becoming fit for it.
-  if (task.trial_wanted && (kept || !crash_watch::decisive(task)))
+  const bool worker_kept = m_crashes.keeps_worker_for(task, now);
+  // A decisive trial that waits needs a kept worker at all times, so another worker is picked if
+  // none is kept; for other trials one attempt is enough.
+  if (task.trial_wanted && (worker_kept || !crash_watch::decisive(task)))
     return;
-  worker_record* const worker = best_worker(job, place, now, trials::ignored);
+  worker_record* const worker = best_worker(job, place, now, isolation::ignored);
   if (worker == nullptr)
     return;
   task.trial_wanted = task.trial_wanted.value_or(now);
   m_crashes.keep_for_trial(*worker, task, now);
 }
 
-bool placer::may_begin(const waiting_step& each, const worker_record& worker, time_point now)
+bool placer::begin_mark_written(const waiting_step& each, const worker_record& worker,
+                                time_point now)
 {
   job_record& job = *each.job;
   step_record& step = job.cycles()[each.cycle].steps[each.step];
@@ -263,13 +272,13 @@
   return step.begun.written_for(worker.info.zone);
 }
 
-void placer::leave_small_zone(job_record& job, step_record& step)
+void placer::widen_small_zone(job_record& job, step_record& step)
 {
   if (!job.policy().advice || (!step.permits.asking && !step.permits.permitted.empty()))
     m_state.want_anywhere(job, step);
 }
 
-void placer::advise_in_turn(const std::vector<waiting_step>& steps, time_point now)
+void placer::request_overdue_advice(const std::vector<waiting_step>& steps, time_point now)
 {
   const waiting_step* longest = nullptr;
   time_point earliest = now - m_state.options.advice_turn;
@@ -285,7 +294,7 @@
     earliest = waits_since;
   }
   if (longest != nullptr)
-    m_advice.want_in_turn(*longest->job, longest->cycle, longest->step, now);
+    m_advice.request_overdue(*longest->job, longest->cycle, longest->step, now);
 }
 
 void placer::place_step(const waiting_step& each, time_point now)
@@ -304,13 +313,13 @@
     worker_record* const worker = worker_for(job, place, now);
     if (worker == nullptr && suspected(task.crashes))
     {
-      // Others of the step may have a worker for all that.
-      note_trial_wanted(job, place, now);
+      // Other tasks of the step are not suspected and may still find a worker.
+      prepare_trial(job, place, now);
       continue;
     }
     if (worker == nullptr)
-      leave_small_zone(job, step);
-    if (worker == nullptr || !may_begin(each, *worker, now))
+      widen_small_zone(job, step);
+    if (worker == nullptr || !begin_mark_written(each, *worker, now))
       break;
     const run_number number = std::max(task.last_run, m_state.first_run) + 1;
     if (!m_crashes.may_start(job, place, number, *worker, false))
@@ -327,29 +336,30 @@
                          {"before_objective_ms", job.objective() - now}});
 }
 
-void placer::avoid_slow_workers(time_point now)
+void placer::mark_slow_workers(time_point now)
 {
   for (const auto& [id, worker] : m_state.workers)
   {
-    const auto late =
+    const auto overdue_runs =
         std::count_if(worker->runs.begin(), worker->runs.end(),
                       [this, now](const auto& each) { return m_state.overdue(*each.second, now); });
-    if (static_cast<std::size_t>(late) < m_state.options.overdue_to_avoid)
+    if (static_cast<std::size_t>(overdue_runs) < m_state.options.overdue_to_avoid)
       continue;
     if (worker->slow_until <= now)
-      common::log_process("worker_slow", {{"worker", id.value}, {"overdue_runs", late}});
+      common::log_process("worker_slow", {{"worker", id.value}, {"overdue_runs", overdue_runs}});
     worker->slow_until = now + m_state.options.slow_pause;
   }
 }
 
-bool placer::deserves_copy(const run_record& run, time_point now) const
+bool placer::needs_copy(const run_record& run, time_point now) const
 {
   if (!run.spec().speculative || run.spec().gang || run.spec().long_running ||
       run.phase == run_phase::stopping || run.job->ended() ||
       run.job->task(run.place).runs.size() > 1)
     return false;
   const worker_record& worker = *run.worker;
-  // A copy of what may have crashed its worker would take the next one before that is known.
+  // A task that may have crashed its worker gets no copy: the copy could crash a second worker
+  // before the cause is known.
   const jobs::crash_history& crashes = run.job->task(run.place).crashes;
   if (suspected(crashes) || (worker.suspect && crashes.any()))
     return false;
@@ -360,19 +370,20 @@
 
 void placer::place_copies(time_point now)
 {
-  // Another owner may have heard how the first run ended.
+  // Without a recent renewal of the ownership another owner may have taken over and may know that
+  // the first run has ended.
   if (!m_state.surely_owner(now))
     return;
-  std::vector<run_record*> late;
+  std::vector<run_record*> need_copy;
   for (const auto& [id, worker] : m_state.workers)
   {
     for (const auto& [task, run] : worker->runs)
     {
-      if (deserves_copy(*run, now))
-        late.push_back(run.get());
+      if (needs_copy(*run, now))
+        need_copy.push_back(run.get());
     }
   }
-  for (const run_record* run : late)
+  for (const run_record* run : need_copy)
   {
     if (m_state.starts.spent())
       return;
@@ -380,9 +391,9 @@
     const task_place place = run->place;
     worker_record* const worker = worker_for(job, place, now);
     if (worker == nullptr || worker == run->worker ||
-        !may_begin({&job, place.cycle, place.step}, *worker, now))
+        !begin_mark_written({&job, place.cycle, place.step}, *worker, now))
     {
-      leave_small_zone(job, job.step(place));
+      widen_small_zone(job, job.step(place));
       m_advice.want(job, place.cycle, place.step, now);
       continue;
     }
@@ -414,13 +425,13 @@
   run.sends = 1;
   run.start_expires = m_state.extended_lease(worker, now);
   run.ticket = ticket == nullptr ? std::string() : *ticket;
-  run.ticket_over = m_advice.ticket_over(job, job.step(place), worker.info.id);
+  run.ticket_over = m_advice.ticket_expiry(job, job.step(place), worker.info.id);
   m_state.starts.take();
   m_state.metrics.add(common::counter::attempts_started);
   if (job.first_start())
   {
-    m_state.outlook.first_start(job.policy().priority, now);
-    m_state.metrics.record(waiting_kind(job, *job.step(place).spec), now - job.accepted_at());
+    m_state.outlook.record_first_start(job.policy().priority, now);
+    m_state.metrics.record(wait_timing(job, *job.step(place).spec), now - job.accepted_at());
   }
   m_state.commands.emplace_back(start_command{
       worker.info.id, worker.info.address, run.ref(), number, job.accepted().spec.payload,
--- a/Source/Core/Scheduling/Placer.h
+++ b/Source/Core/Scheduling/Placer.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Places waiting tasks: in which order steps are served, and on which workers their tasks start.
+// Places waiting tasks: decides in which order steps are considered and on which workers their
+// tasks start.
 
 #include <map>
 #include <string>
@@ -20,38 +21,41 @@
 {
 public:
   placer(scheduler_state& state, const zone_chooser& zones, advice_planner& advice,
-         reservations& kept, crash_watch& crashes);
+         reservations& reserved, crash_watch& crashes);
 
-  // One pass over all waiting steps; with a survey of what runs, also over tasks that are late.
+  // Makes one pass over the waiting steps. With `survey`, the pass also checks the running tasks:
+  // it marks slow workers and starts copies of speculative tasks that are late.
   void place(time_point now, bool survey);
-  // How many waiting steps the latest pass looked at.
-  std::size_t steps_examined() const { return m_looked_at; }
-  // Where a task would be started now; null if no worker has room and a ticket.
+  // Number of waiting steps that the latest pass tried to place.
+  std::size_t steps_examined() const { return m_steps_examined; }
+  // The worker on which the task would be started now; null if no worker has the free capacity and,
+  // where the queue needs one, a ticket.
   worker_record* worker_for(job_record& job, const task_place& place, time_point now) const
   {
-    return best_worker(job, place, now, trials::kept_apart);
+    return best_worker(job, place, now, isolation::enforced);
   }
 
-  // Whether suspected tasks and their neighbours are kept apart.
-  enum class trials
+  // Whether tasks suspected of crashing workers have to be isolated from other tasks.
+  enum class isolation
   {
-    kept_apart,
+    enforced,
     ignored
   };
-  // What keeps a task from being started on a worker: the first of these that applies.
+  // The reason why a task cannot be started on a worker. The checks are made in the order of the
+  // enumerators; the first one that fails is returned.
   enum class obstacle
   {
-    unusable,   // silent, paused, or its zone is
-    other_zone, // than the one that the step is kept in
-    unsuitable,
-    no_room,
-    unfit_for_trial,
-    reserved,
-    no_ticket,
+    unusable,        // the worker is silent or paused, or its whole zone is silent
+    other_zone,      // the step is restricted to another zone
+    unsuitable,      // the worker does not meet the step's requirements (see meets_requirements)
+    no_room,         // not enough free capacity, or the step's limit per worker is reached
+    unfit_for_trial, // isolated for another task's trial, or unfit for this task's trial
+    reserved,        // the worker is reserved for another step
+    no_ticket,       // the queue's policy needs a ticket, and there is no valid one
     none
   };
   obstacle obstacle_at(const worker_record& worker, const job_record& job, const task_place& place,
-                       time_point now, trials how) const;
+                       time_point now, isolation rule) const;
 
 private:
   struct waiting_step
@@ -61,46 +65,57 @@
     std::uint32_t step = 0;
     job_prospect prospect = job_prospect::in_time;
 
-    // In the order in which steps are served.
+    // The order in which steps are considered in a pass.
     bool before(const waiting_step& other) const;
   };
 
-  // Of one queue, in a pass: how many steps found no room so far.
+  // By queue: the number of steps so far in this pass that were skipped or still have waiting
+  // tasks.
   using blocked_steps = std::map<std::string, std::size_t>;
 
-  std::vector<waiting_step> in_order(time_point now) const;
-  static bool lasts(const waiting_step& each);
-  // While starts are paced: what lasts goes first, however few are left, then what has begun.
-  static int turn_while_paced(const waiting_step& each);
-  // Whether the step is looked at in this pass, after so many of its queue that found no room.
-  bool its_turn(const waiting_step& each, const blocked_steps& blocked) const;
-  // Places what can be placed of it; whether nothing of it waits any more.
-  bool serve(const waiting_step& each, time_point now);
-  // Whether a later owner would know that tasks of the step may run on the worker.
-  bool may_begin(const waiting_step& each, const worker_record& worker, time_point now);
-  // A worker for a member of a gang, which takes room there from now on; null if none is fit.
+  std::vector<waiting_step> sorted_waiting_steps(time_point now) const;
+  static bool is_long_running(const waiting_step& each);
+  // Order of steps while starts are paced: long-running steps (0) come first, since the pass goes
+  // on with them even when its budget is spent, then jobs that have begun (1), then all others (2).
+  static int paced_rank(const waiting_step& each);
+  // Whether this pass tries to place the step, given how many steps of its queue were blocked so
+  // far.
+  bool due_in_this_pass(const waiting_step& each, const blocked_steps& blocked_by_queue) const;
+  // Starts as many tasks of the step as possible. If some still wait, reserves workers for them,
+  // requests advice and returns false.
+  bool place_or_reserve(const waiting_step& each, time_point now);
+  // Whether the store has the mark that tasks of the step may run in the worker's zone, from which
+  // a later owner knows about them. Requests the mark if there is none yet.
+  bool begin_mark_written(const waiting_step& each, const worker_record& worker, time_point now);
+  // Adds a run of a gang member, which takes capacity on its worker from now on. Returns null if no
+  // worker can take the member now.
   run_record* add_member(const waiting_step& each, const task_place& place, run_number number,
                          time_point now);
-  void take_back(const std::vector<run_record*>& members);
-  // Whether all members may be started, as far as crashes go.
+  void remove_members(const std::vector<run_record*>& members);
+  // Whether the crash watch allows all members to start. Calls crash_watch::may_start() for every
+  // member, which also requests the announcement of a member that needs one.
   bool gang_may_start(const std::vector<run_record*>& members);
-  // A step whose tasks find no room in its zone, though workers there were permitted, leaves it.
-  void leave_small_zone(job_record& job, step_record& step);
-  // Asks for advice for the step that has waited longest for its turn, if it is due.
-  void advise_in_turn(const std::vector<waiting_step>& steps, time_point now);
+  // Requests that the step may use all zones, because its own zone has no free capacity for it.
+  // With advice, only once there was a reply and no request is in flight.
+  void widen_small_zone(job_record& job, step_record& step);
+  // Requests advice for the step that has waited longest since its last request, or since its job's
+  // acceptance, if that time exceeds the configured limit.
+  void request_overdue_advice(const std::vector<waiting_step>& steps, time_point now);
   void place_step(const waiting_step& each, time_point now);
   void place_gang(const waiting_step& each, time_point now);
   worker_record* best_worker(job_record& job, const task_place& place, time_point now,
-                             trials how) const;
-  // A suspected task found no worker: whether it waits for one that is fit for its trial.
-  void note_trial_wanted(job_record& job, const task_place& place, time_point now) const;
-  bool has_room(const worker_record& worker, const job_record& job, const task_place& place) const;
-  double preference(const worker_record& worker, const step_record& step, const task_record& task,
-                    time_point now) const;
-  void avoid_slow_workers(time_point now);
-  // Second runs of speculative tasks that are late where they run.
+                             isolation rule) const;
+  // Called when no worker can take a suspected task: keeps a worker free of new starts so that it
+  // becomes fit for the task's trial, and records since when the task waits for such a worker.
+  void prepare_trial(job_record& job, const task_place& place, time_point now) const;
+  bool has_free_capacity(const worker_record& worker, const job_record& job,
+                         const task_place& place) const;
+  double placement_score(const worker_record& worker, const step_record& step,
+                         const task_record& task, time_point now) const;
+  void mark_slow_workers(time_point now);
+  // Starts second runs of speculative tasks that are late or run on a silent worker.
   void place_copies(time_point now);
-  bool deserves_copy(const run_record& run, time_point now) const;
+  bool needs_copy(const run_record& run, time_point now) const;
   void start(job_record& job, const task_place& place, run_number number, worker_record& worker,
              time_point now);
 
@@ -110,6 +125,6 @@
   reservations& m_reservations;
   crash_watch& m_crashes;
   std::size_t m_passes = 0;
-  std::size_t m_looked_at = 0;
+  std::size_t m_steps_examined = 0;
 };
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/PlacerGangs.cpp
+++ b/Source/Core/Scheduling/PlacerGangs.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// How gangs are placed: all members at once, each with room of its own, or none.
+// Placement of gangs: all members start in the same pass, each with its own capacity, or none does.
 
 #include "Scheduling/Placer.h"
 
@@ -14,9 +14,9 @@
 {
 namespace
 {
-// The members of a gang by how much they are suspected of crashing workers: the most suspected ones
-// need workers on which no other member begins.
-std::vector<std::uint32_t> suspects_first(const step_record& step)
+// Indices of the step's tasks by number of counted losses, highest first. The most suspected
+// members choose their workers first, because they need workers on which no other member starts.
+std::vector<std::uint32_t> most_suspected_first(const step_record& step)
 {
   std::vector<std::uint32_t> order(step.tasks.size());
   std::iota(order.begin(), order.end(), 0U);
@@ -28,12 +28,13 @@
 }
 } // namespace
 
-// All members start in one pass or none does.
+// Starts all members in this pass or none. Adds a run for each member first, and removes these runs
+// again if one member finds no worker or may not start yet.
 void placer::place_gang(const waiting_step& each, time_point now)
 {
   job_record& job = *each.job;
   step_record& step = job.cycles()[each.cycle].steps[each.step];
-  // Members of an earlier run that have not ended yet would be a second run of the same task.
+  // A member of an earlier run that has not ended yet would run twice.
   if (!step.all_wait())
     return;
   run_number number = m_state.first_run;
@@ -45,7 +46,7 @@
   }
   ++number;
   std::vector<run_record*> members;
-  for (const std::uint32_t index : suspects_first(step))
+  for (const std::uint32_t index : most_suspected_first(step))
   {
     run_record* const member = add_member(each, {each.cycle, each.step, index}, number, now);
     if (member == nullptr)
@@ -54,10 +55,11 @@
   }
   if (members.size() < step.tasks.size() || !gang_may_start(members))
   {
-    take_back(members);
+    remove_members(members);
     return;
   }
-  // Any member's checkpoint serves for all; all must bring the same one.
+  // All members have to start from the same checkpoint; any member's checkpoint is valid for the
+  // whole gang.
   std::string checkpoint;
   for (const task_record& task : step.tasks)
     checkpoint = task.checkpoint.empty() ? checkpoint : task.checkpoint;
@@ -75,16 +77,17 @@
   job_record& job = *each.job;
   worker_record* const worker = worker_for(job, place, now);
   if (worker == nullptr && suspected(job.task(place).crashes))
-    note_trial_wanted(job, place, now);
-  if (worker == nullptr || !may_begin(each, *worker, now))
+    prepare_trial(job, place, now);
+  if (worker == nullptr || !begin_mark_written(each, *worker, now))
     return nullptr;
   run_record& run = m_state.add_run(job, place, number, *worker, now);
   m_crashes.mark_trial(run, now);
   return &run;
 }
 
-// Their number was not used: the gang's next try has it again, as it may have been announced.
-void placer::take_back(const std::vector<run_record*>& members)
+// Resets the members' run number, which was not used: the gang's next attempt has to use the same
+// number, because it may already be announced.
+void placer::remove_members(const std::vector<run_record*>& members)
 {
   for (run_record* const member : members)
   {
@@ -96,9 +99,10 @@
 
 bool placer::gang_may_start(const std::vector<run_record*>& members)
 {
-  bool all = true;
+  bool startable = true;
   for (const run_record* const member : members)
-    all &= m_crashes.may_start(*member->job, member->place, member->number, *member->worker, false);
-  return all;
+    startable &=
+        m_crashes.may_start(*member->job, member->place, member->number, *member->worker, false);
+  return startable;
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/Reservations.cpp
+++ b/Source/Core/Scheduling/Reservations.cpp
@@ -12,15 +12,16 @@
 {
 namespace
 {
-// Tasks that take less of a worker than this find room soon enough by themselves.
+// Tasks that need a smaller share of a worker than this find free capacity soon enough without a
+// reservation.
 constexpr double k_large_share = 0.5;
-// A run that takes longer than expected should end this soon.
-constexpr milliseconds k_overdue_end{250};
+// A run that already takes longer than expected is assumed to end after this time.
+constexpr milliseconds k_overdue_run_end{250};
 } // namespace
 
 reservations::reservations(const scheduler_state& state) : m_state(state) {}
 
-bool reservations::large(const step_record& step, const worker_record& worker) const
+bool reservations::is_large(const step_record& step, const worker_record& worker) const
 {
   return common::dominant_share(room_of(*step.spec), worker.info.capacity) >= k_large_share;
 }
@@ -29,12 +30,13 @@
 {
   if (run.spec().long_running || run.spec().estimate.count() <= 0)
     return time_point::max();
-  const duration takes = m_state.runtimes.expected(run.job->accepted().queue, run.spec().estimate);
-  return std::max(run.begun + takes, now + k_overdue_end);
+  const duration run_time =
+      m_state.runtimes.expected(run.job->accepted().queue, run.spec().estimate);
+  return std::max(run.begun + run_time, now + k_overdue_run_end);
 }
 
-common::resources reservations::free_at(const worker_record& worker, time_point when,
-                                        time_point now) const
+common::resources reservations::free_capacity_at(const worker_record& worker, time_point when,
+                                                 time_point now) const
 {
   common::resources free = worker.free();
   for (const auto& [task, run] : worker.runs)
@@ -45,9 +47,9 @@
   return free;
 }
 
-std::optional<time_point> reservations::room_from(const worker_record& worker,
-                                                  const common::resources& room,
-                                                  time_point now) const
+std::optional<time_point> reservations::expected_free_from(const worker_record& worker,
+                                                           const common::resources& needed,
+                                                           time_point now) const
 {
   std::vector<std::pair<time_point, const run_record*>> ends;
   for (const auto& [task, run] : worker.runs)
@@ -57,37 +59,38 @@
   time_point when = now;
   for (const auto& [end, run] : ends)
   {
-    if (room.fits_in(free))
+    if (needed.fits_in(free))
       break;
     free += run->room;
     when = end;
   }
-  if (!room.fits_in(free) || when == time_point::max())
+  if (!needed.fits_in(free) || when == time_point::max())
     return std::nullopt;
   return when;
 }
 
-void reservations::keep_for(job_record& job, std::uint32_t cycle, std::uint32_t step,
-                            time_point now)
+void reservations::reserve_for(job_record& job, std::uint32_t cycle, std::uint32_t step,
+                               time_point now)
 {
-  const step_record& in = job.cycles()[cycle].steps[step];
-  // No room comes sooner than now.
+  const step_record& record = job.cycles()[cycle].steps[step];
+  // Even a start now would miss the objective.
   if (now + job.chain_from(step) > job.objective())
     return;
-  const common::resources room = room_of(*in.spec);
+  const common::resources needed = room_of(*record.spec);
   std::vector<std::pair<time_point, worker_id>> candidates;
   const auto consider = [&](const worker_record& worker)
   {
-    if (!large(in, worker) || !m_state.usable(worker, now) || !in.begun.covers(worker.info.zone) ||
-        !suits(worker, job, in) || m_kept.contains(worker.info.id))
+    if (!is_large(record, worker) || !m_state.usable(worker, now) ||
+        !record.begun.covers(worker.info.zone) || !meets_requirements(worker, job, record) ||
+        m_by_worker.contains(worker.info.id))
       return;
-    const auto when = room_from(worker, room, now);
+    const auto when = expected_free_from(worker, needed, now);
     if (when && *when + job.chain_from(step) <= job.objective())
       candidates.emplace_back(*when, worker.info.id);
   };
   if (job.policy().advice)
   {
-    for (const auto& [id, permitted] : in.permits.permitted)
+    for (const auto& [id, permitted] : record.permits.permitted)
     {
       const auto found = m_state.workers.find(id);
       if (permitted && found != m_state.workers.end())
@@ -100,30 +103,32 @@
       consider(*worker);
   }
   std::sort(candidates.begin(), candidates.end());
-  candidates.resize(std::min<std::size_t>(candidates.size(), in.waiting));
+  candidates.resize(std::min<std::size_t>(candidates.size(), record.waiting));
   for (const auto& [when, id] : candidates)
-    m_kept[id] = {{job.id(), cycle, step}, room, when};
+    m_by_worker[id] = {{job.id(), cycle, step}, needed, when};
 }
 
 bool reservations::allows(const worker_record& worker, const job_record& job,
                           const step_record& step, time_point now) const
 {
-  const auto kept = m_kept.find(worker.info.id);
-  if (kept == m_kept.end())
+  const auto found = m_by_worker.find(worker.info.id);
+  if (found == m_by_worker.end())
     return true;
-  const reservation& held = kept->second;
-  const duration takes = m_state.runtimes.expected(job.accepted().queue, step.spec->estimate);
-  if (!step.spec->long_running && step.spec->estimate.count() > 0 && now + takes <= held.when)
+  const reservation& reserved = found->second;
+  const duration run_time = m_state.runtimes.expected(job.accepted().queue, step.spec->estimate);
+  if (!step.spec->long_running && step.spec->estimate.count() > 0 &&
+      now + run_time <= reserved.expected_at)
     return true;
-  return room_of(*step.spec).fits_in(free_at(worker, held.when, now) - held.room);
+  return room_of(*step.spec)
+      .fits_in(free_capacity_at(worker, reserved.expected_at, now) - reserved.capacity);
 }
 
-std::optional<time_point> reservations::expected(const step_ref& step,
-                                                 const worker_id& worker) const
+std::optional<time_point> reservations::expected_free_time(const step_ref& step,
+                                                           const worker_id& worker) const
 {
-  const auto kept = m_kept.find(worker);
-  if (kept == m_kept.end() || kept->second.step != step)
+  const auto found = m_by_worker.find(worker);
+  if (found == m_by_worker.end() || found->second.step != step)
     return std::nullopt;
-  return kept->second.when;
+  return found->second.expected_at;
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/Reservations.h
+++ b/Source/Core/Scheduling/Reservations.h
@@ -3,8 +3,9 @@
 
 #pragma once
 
-// Keeps workers for large tasks that wait: a task that needs most of a worker would otherwise find
-// each room that becomes free taken by smaller ones, however late or unimportant those are.
+// Reserves workers for large waiting tasks. Without a reservation, smaller tasks would take all
+// capacity that becomes free, however late or unimportant they are, and a task that needs most of a
+// worker would never find enough of it.
 
 #include <map>
 #include <optional>
@@ -18,34 +19,40 @@
 public:
   explicit reservations(const scheduler_state& state);
 
-  // A new pass over all waiting steps begins, in the order in which they should start.
-  void clear() { m_kept.clear(); }
-  // Keeps for each waiting task of the step the permitted worker that should have the room for it
-  // first, if the task is large and would still be in time there.
-  void keep_for(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now);
-  // Whether a task of the step may start on the worker: it is not kept for another, or is free
-  // again by then, or has room for both.
+  // Removes all reservations. Called at the start of a pass, which then reserves for the waiting
+  // steps in the order in which they should start.
+  void clear() { m_by_worker.clear(); }
+  // Reserves, for each waiting task of the step, the permitted worker that should have free
+  // capacity for it first. Only workers of which the task needs a large share, and on which it
+  // would still meet the job's objective, are reserved.
+  void reserve_for(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now);
+  // Whether a task of the step may start on the worker. It may if the worker is not reserved, if
+  // the task should end before the reserved capacity is expected to be free, or if the worker then
+  // has capacity for both tasks.
   bool allows(const worker_record& worker, const job_record& job, const step_record& step,
               time_point now) const;
-  // When the room is expected on a worker that is kept for the step; none for other workers.
-  std::optional<time_point> expected(const step_ref& step, const worker_id& worker) const;
+  // When the capacity should be free on a worker that is reserved for the step; none for other
+  // workers.
+  std::optional<time_point> expected_free_time(const step_ref& step, const worker_id& worker) const;
 
 private:
   struct reservation
   {
     step_ref step;
-    common::resources room;
-    time_point when;
+    common::resources capacity;
+    time_point expected_at;
   };
 
-  bool large(const step_record& step, const worker_record& worker) const;
+  bool is_large(const step_record& step, const worker_record& worker) const;
   time_point expected_end(const run_record& run, time_point now) const;
-  common::resources free_at(const worker_record& worker, time_point when, time_point now) const;
-  // When the worker should have that room; none if it is not foreseen.
-  std::optional<time_point> room_from(const worker_record& worker, const common::resources& room,
-                                      time_point now) const;
+  common::resources free_capacity_at(const worker_record& worker, time_point when,
+                                     time_point now) const;
+  // When the worker should have that much free capacity; none if it cannot be foreseen.
+  std::optional<time_point> expected_free_from(const worker_record& worker,
+                                               const common::resources& needed,
+                                               time_point now) const;
 
   const scheduler_state& m_state;
-  std::map<worker_id, reservation> m_kept;
+  std::map<worker_id, reservation> m_by_worker;
 };
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/RuntimeModel.cpp
+++ b/Source/Core/Scheduling/RuntimeModel.cpp
@@ -9,13 +9,15 @@
 {
 namespace
 {
-// Weight of a new sample: some twenty tasks, a second or two of short ones, make up the figure.
-constexpr double k_weight = 0.05;
-// Samples beyond this ratio come from slow or paused workers and are counted as this.
-constexpr double k_most_ratio = 4.0;
-// So many mean deviations above the mean lie hardly any sound runs (3.5 standard deviations of a
-// normal distribution); and the slack covers starting, the way and the wait for news.
-constexpr double k_deviations = 4.5;
+// Weight of a new sample in the moving averages: about the last twenty tasks determine them, which
+// takes a second or two with short tasks.
+constexpr double k_sample_weight = 0.05;
+// Larger ratios come from slow or paused workers and are limited to this value.
+constexpr double k_max_ratio = 4.0;
+// Hardly any healthy run lies more than this many mean deviations above the mean (equivalent to 3.5
+// standard deviations of a normal distribution).
+constexpr double k_deviation_factor = 4.5;
+// Covers the start of the task, message latency and the wait for the worker's next update.
 constexpr std::chrono::milliseconds k_slack{250};
 } // namespace
 
@@ -24,11 +26,11 @@
 {
   if (estimate.count() <= 0)
     return;
-  const double sample = std::fmin(k_most_ratio, static_cast<double>(actual.count()) /
-                                                    static_cast<double>(estimate.count()));
+  const double sample = std::fmin(k_max_ratio, static_cast<double>(actual.count()) /
+                                                   static_cast<double>(estimate.count()));
   ratio& known = m_ratios[queue];
-  known.deviation += k_weight * (std::fabs(sample - known.mean) - known.deviation);
-  known.mean += k_weight * (sample - known.mean);
+  known.deviation += k_sample_weight * (std::fabs(sample - known.mean) - known.deviation);
+  known.mean += k_sample_weight * (sample - known.mean);
 }
 
 common::duration runtime_model::expected(const std::string& queue, common::duration estimate) const
@@ -42,7 +44,7 @@
 {
   const auto found = m_ratios.find(queue);
   const ratio known = found == m_ratios.end() ? ratio{} : found->second;
-  const double factor = known.mean + k_deviations * known.deviation;
+  const double factor = known.mean + k_deviation_factor * known.deviation;
   return std::chrono::duration_cast<common::duration>(estimate * factor) + k_slack;
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/RuntimeModel.h
+++ b/Source/Core/Scheduling/RuntimeModel.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// How long tasks really take, against what their jobs say: learned by queue, since the estimates of
-// one queue are off by up to a tenth and those of another by nine.
+// Learns by queue how long tasks take compared with the estimates of their jobs. The queues differ:
+// the estimates of some are off by up to a tenth, those of others by nine tenths.
 
 #include <map>
 #include <string>
@@ -16,18 +16,18 @@
 class runtime_model
 {
 public:
-  // A task of that estimate took `actual` on a worker that was not thought slow.
+  // Records that a task with that estimate took `actual` on a worker that was not considered slow.
   void learn(const std::string& queue, common::duration estimate, common::duration actual);
-  // How long sound runs of that estimate take on average.
+  // The average duration of healthy runs of tasks with that estimate.
   common::duration expected(const std::string& queue, common::duration estimate) const;
-  // Hardly any sound run of that estimate takes longer.
+  // An upper bound that hardly any healthy run of a task with that estimate exceeds.
   common::duration longest(const std::string& queue, common::duration estimate) const;
 
 private:
   struct ratio
   {
     double mean = 1.0;
-    double deviation = 0.4; // mean distance from the mean
+    double deviation = 0.4; // mean absolute deviation
   };
 
   std::map<std::string, ratio> m_ratios;
--- a/Source/Core/Scheduling/WaitReport.cpp
+++ b/Source/Core/Scheduling/WaitReport.cpp
@@ -12,38 +12,38 @@
 {
 namespace
 {
-constexpr auto k_names = std::to_array<std::string_view>({"may_not_place",
-                                                          "unaccounted",
-                                                          "run_orphaned",
-                                                          "run_stopping",
-                                                          "run_silent",
-                                                          "run_unanswered",
-                                                          "run_unheld",
-                                                          "renewal",
-                                                          "gang",
-                                                          "trial_postponed",
-                                                          "announcement",
-                                                          "begin_mark",
-                                                          "unplaced",
-                                                          "no_worker",
-                                                          "worker_unusable",
-                                                          "other_zone",
-                                                          "worker_unsuitable",
-                                                          "no_room",
-                                                          "unfit_for_trial",
-                                                          "reserved",
-                                                          "no_ticket",
-                                                          "turn"});
-static_assert(k_names.size() == static_cast<std::size_t>(wait_reason::count));
+constexpr auto k_reason_names = std::to_array<std::string_view>({"may_not_place",
+                                                                 "unaccounted",
+                                                                 "run_orphaned",
+                                                                 "run_stopping",
+                                                                 "run_silent",
+                                                                 "run_unanswered",
+                                                                 "run_unheld",
+                                                                 "renewal",
+                                                                 "gang",
+                                                                 "trial_postponed",
+                                                                 "announcement",
+                                                                 "begin_mark",
+                                                                 "unplaced",
+                                                                 "no_worker",
+                                                                 "worker_unusable",
+                                                                 "other_zone",
+                                                                 "worker_unsuitable",
+                                                                 "no_room",
+                                                                 "unfit_for_trial",
+                                                                 "reserved",
+                                                                 "no_ticket",
+                                                                 "turn"});
+static_assert(k_reason_names.size() == static_cast<std::size_t>(wait_reason::count));
 
-wait_reason reason_of(placer::obstacle what)
+wait_reason reason_of(placer::obstacle from)
 {
   static constexpr std::array k_reasons{wait_reason::worker_unusable,   wait_reason::other_zone,
                                         wait_reason::worker_unsuitable, wait_reason::no_room,
                                         wait_reason::unfit_for_trial,   wait_reason::reserved,
                                         wait_reason::no_ticket,         wait_reason::turn};
   static_assert(k_reasons.size() == static_cast<std::size_t>(placer::obstacle::none) + 1);
-  return k_reasons.at(static_cast<std::size_t>(what));
+  return k_reasons.at(static_cast<std::size_t>(from));
 }
 
 task_wait wait_for(wait_reason reason)
@@ -59,42 +59,43 @@
   wait.worker = worker.info.id.value;
   wait.zone = worker.info.zone;
   wait.workers = 1;
-  wait.lease_left = worker.lease_end - now;
-  wait.unheard = now - std::max(worker.heard_at, worker.first_seen);
+  wait.lease_remaining = worker.lease_end - now;
+  wait.since_heard = now - std::max(worker.heard_at, worker.first_seen);
   return wait;
 }
 
 std::string mark_state(const begun_record& begun)
 {
-  static constexpr auto k_marks = std::to_array<std::string_view>(
-      {"not asked for", "waits for a commit", "is being written", "is written for another zone"});
+  static constexpr auto k_mark_states = std::to_array<std::string_view>(
+      {"not requested", "waits for a commit", "is being written", "is written for another zone"});
   const begin_mark mark = begun.widened == begin_mark::none ? begun.mark : begun.widened;
-  return "the mark " + std::string(common::name_of(k_marks, mark));
+  return "the begin mark " + std::string(common::name_of(k_mark_states, mark));
 }
 
 std::string advice_state(const step_permits& permits, time_point now)
 {
   if (permits.asking)
-    return "advice is on its way";
+    return "an advice request is in flight";
   if (permits.ask_after > now)
-    return "advice had no answer or permitted none";
-  return permits.permitted.empty() ? "no advice yet" : "no ticket that is still good";
+    return "the last advice request had no reply or permitted no worker";
+  return permits.permitted.empty() ? "no advice yet" : "no valid ticket";
 }
 } // namespace
 
-const std::array<wait_report::check, 4> wait_report::k_checks{
-    &wait_report::placing_ended, &wait_report::unaccounted, &wait_report::doubtful_run,
-    &wait_report::kept_back};
+const std::array<wait_report::wait_check, 4> wait_report::k_wait_checks{
+    &wait_report::placing_disabled, &wait_report::unaccounted, &wait_report::stalled_run,
+    &wait_report::held_back};
 
 std::string_view to_text(wait_reason reason)
 {
-  return common::name_of(k_names, reason);
+  return common::name_of(k_reason_names, reason);
 }
 
-wait_report::wait_report(scheduler_state& state, const placer& places, const crash_watch& crashes,
-                         const takeover_accounting& accounting, const worker_holder& holder)
+wait_report::wait_report(scheduler_state& state, const placer& task_placer,
+                         const crash_watch& crashes, const takeover_accounting& accounting,
+                         const worker_holder& holder)
     : m_state(state),
-      m_placer(places),
+      m_placer(task_placer),
       m_crashes(crashes),
       m_accounting(accounting),
       m_holder(holder)
@@ -104,7 +105,7 @@
 void wait_report::update(time_point now)
 {
   m_waiting.clear();
-  m_told.clear();
+  m_reported.clear();
   for (const std::string& id : m_state.open)
   {
     job_record& job = *m_state.jobs.at(id);
@@ -116,16 +117,16 @@
   }
   if (m_waiting.empty())
     return;
-  // Each has its turn, after those that were told last.
+  // Rotation: continues behind the task that was reported last.
   const auto next = std::find_if(m_waiting.begin(), m_waiting.end(),
                                  [this](const waiting_task& each) {
-                                   return m_last_told < task_ref{each.job->id(), each.place};
+                                   return m_last_reported < task_ref{each.job->id(), each.place};
                                  });
   std::rotate(m_waiting.begin(), next, m_waiting.end());
-  const std::size_t told = std::min(k_most_told, m_waiting.size());
-  for (std::size_t i = 0; i < told; ++i)
-    tell(m_waiting[i], now);
-  tell_sum(now);
+  const std::size_t reported = std::min(k_max_reported, m_waiting.size());
+  for (std::size_t i = 0; i < reported; ++i)
+    report(m_waiting[i], now);
+  report_summary(now);
 }
 
 void wait_report::find_waiting(job_record& job, std::uint32_t cycle, std::uint32_t step,
@@ -138,26 +139,26 @@
   for (std::uint32_t i = 0; i < record.tasks.size(); ++i)
   {
     task_record& task = record.tasks[i];
-    if (!ready || task.phase == task_phase::done || runs(task, now))
+    if (!ready || task.phase == task_phase::done || is_running(task, now))
     {
       task.idle_since.reset();
       continue;
     }
     if (!task.idle_since)
       task.idle_since = now;
-    if (now - *task.idle_since > k_patience)
+    if (now - *task.idle_since > k_report_after)
       m_waiting.push_back({&job, {cycle, step, i}, now - *task.idle_since});
   }
 }
 
-bool wait_report::runs(const task_record& task, time_point now) const
+bool wait_report::is_running(const task_record& task, time_point now) const
 {
   return std::any_of(task.runs.begin(), task.runs.end(),
                      [this, now](const run_record* run)
-                     { return doubt_about(*run, now) == wait_reason::count; });
+                     { return run_problem(*run, now) == wait_reason::count; });
 }
 
-wait_reason wait_report::doubt_about(const run_record& run, time_point now) const
+wait_reason wait_report::run_problem(const run_record& run, time_point now) const
 {
   if (run.orphaned)
     return wait_reason::run_orphaned;
@@ -172,38 +173,38 @@
   return wait_reason::count;
 }
 
-task_wait wait_report::wait_of(const waiting_task& which, time_point now) const
+task_wait wait_report::wait_before_placement(const waiting_task& entry, time_point now) const
 {
-  for (const check each : k_checks)
+  for (const wait_check each : k_wait_checks)
   {
-    if (auto found = (this->*each)(which, now))
+    if (auto found = (this->*each)(entry, now))
       return *std::move(found);
   }
   return wait_for(wait_reason::unplaced);
 }
 
-std::optional<task_wait> wait_report::placing_ended(const waiting_task&, time_point now) const
+std::optional<task_wait> wait_report::placing_disabled(const waiting_task&, time_point now) const
 {
   if (m_state.may_place(now))
     return std::nullopt;
   task_wait wait = wait_for(wait_reason::may_not_place);
-  wait.lease_left = m_state.authority_end - now;
-  wait.unheard = now - m_state.confirmed;
+  wait.lease_remaining = m_state.authority_end - now;
+  wait.since_heard = now - m_state.confirmed;
   if (!m_state.may_act(now))
-    wait.detail = "the owner's authority is over";
+    wait.detail = "the owner's authority has ended";
   else
-    wait.detail =
-        m_state.placing_ended ? "the partition is given back" : "the first renewal is not written";
+    wait.detail = m_state.placing_ended ? "the partition is being released"
+                                        : "the first renewal is not written";
   return wait;
 }
 
-// Of several workers the one whose lease lasts longest.
-std::optional<task_wait> wait_report::unaccounted(const waiting_task& which, time_point now) const
+// If several workers may run the task, reports the one whose lease ends last.
+std::optional<task_wait> wait_report::unaccounted(const waiting_task& entry, time_point now) const
 {
-  if (which.job->task(which.place).phase != task_phase::unaccounted)
+  if (entry.job->task(entry.place).phase != task_phase::unaccounted)
     return std::nullopt;
   task_wait wait = wait_for(wait_reason::unaccounted);
-  const std::vector<worker_id> holders = m_accounting.holders_of(*which.job, which.place);
+  const std::vector<worker_id> holders = m_accounting.holders_of(*entry.job, entry.place);
   const worker_record* longest = nullptr;
   for (const worker_id& id : holders)
   {
@@ -217,23 +218,23 @@
   return wait;
 }
 
-std::optional<task_wait> wait_report::doubtful_run(const waiting_task& which, time_point now) const
+std::optional<task_wait> wait_report::stalled_run(const waiting_task& entry, time_point now) const
 {
-  const task_record& task = which.job->task(which.place);
+  const task_record& task = entry.job->task(entry.place);
   if (task.runs.empty())
     return std::nullopt;
   const run_record& run = *task.runs.back();
-  return wait_for(doubt_about(run, now), *run.worker, now);
+  return wait_for(run_problem(run, now), *run.worker, now);
 }
 
-std::optional<task_wait> wait_report::kept_back(const waiting_task& which, time_point now) const
+std::optional<task_wait> wait_report::held_back(const waiting_task& entry, time_point now) const
 {
-  const step_record& step = which.job->step(which.place);
-  const task_record& task = which.job->task(which.place);
+  const step_record& step = entry.job->step(entry.place);
+  const task_record& task = entry.job->task(entry.place);
   if (m_state.awaits_renewal(task, now))
   {
     task_wait wait = wait_for(wait_reason::renewal);
-    wait.unheard = now - m_state.confirmed;
+    wait.since_heard = now - m_state.confirmed;
     return wait;
   }
   if (step.spec->gang && !step.all_wait())
@@ -243,43 +244,43 @@
   return std::nullopt;
 }
 
-// Of all workers the one that comes nearest to having the task.
-task_wait wait_report::placement(const waiting_task& which, time_point now) const
+// Reports the worker that passes most of the placer's checks.
+task_wait wait_report::placement_wait(const waiting_task& entry, time_point now) const
 {
   using obstacle = placer::obstacle;
-  const step_record& step = which.job->step(which.place);
-  const task_record& task = which.job->task(which.place);
+  const step_record& step = entry.job->step(entry.place);
+  const task_record& task = entry.job->task(entry.place);
   std::array<std::size_t, static_cast<std::size_t>(obstacle::none) + 1> counts{};
   std::size_t not_permitted = 0;
   const worker_record* nearest = nullptr;
-  obstacle least = obstacle::unusable;
+  obstacle nearest_obstacle = obstacle::unusable;
   for (const auto& [id, worker] : m_state.workers)
   {
-    if (which.job->policy().advice && ruled_out(step, id))
+    if (entry.job->policy().advice && policy_forbids(step, id))
     {
       ++not_permitted;
       continue;
     }
-    const obstacle here =
-        m_placer.obstacle_at(*worker, *which.job, which.place, now, placer::trials::kept_apart);
-    ++counts.at(static_cast<std::size_t>(here));
-    if (nearest != nullptr && here <= least)
+    const obstacle worker_obstacle =
+        m_placer.obstacle_at(*worker, *entry.job, entry.place, now, placer::isolation::enforced);
+    ++counts.at(static_cast<std::size_t>(worker_obstacle));
+    if (nearest != nullptr && worker_obstacle <= nearest_obstacle)
       continue;
     nearest = worker.get();
-    least = here;
+    nearest_obstacle = worker_obstacle;
   }
   if (nearest == nullptr)
     return wait_for(wait_reason::no_worker);
-  task_wait wait = wait_for(reason_of(least), *nearest, now);
-  wait.workers = counts.at(static_cast<std::size_t>(least));
-  if (least == obstacle::none && !step.begun.written_for(nearest->info.zone))
+  task_wait wait = wait_for(reason_of(nearest_obstacle), *nearest, now);
+  wait.workers = counts.at(static_cast<std::size_t>(nearest_obstacle));
+  if (nearest_obstacle == obstacle::none && !step.begun.written_for(nearest->info.zone))
   {
     wait.reason = wait_reason::begin_mark;
     wait.detail = mark_state(step.begun);
   }
-  else if (least == obstacle::none && crash_watch::awaits_announcement(task))
+  else if (nearest_obstacle == obstacle::none && crash_watch::awaits_announcement(task))
     wait.reason = wait_reason::announcement;
-  if (least == obstacle::no_ticket)
+  if (nearest_obstacle == obstacle::no_ticket)
     wait.detail = advice_state(step.permits, now);
   wait.detail +=
       (wait.detail.empty() ? "" : "; ") + std::to_string(not_permitted) + " not permitted";
@@ -292,49 +293,49 @@
   return wait;
 }
 
-void wait_report::tell(const waiting_task& which, time_point now)
+void wait_report::report(const waiting_task& entry, time_point now)
 {
-  task_wait wait = wait_of(which, now);
+  task_wait wait = wait_before_placement(entry, now);
   if (wait.reason == wait_reason::unplaced)
-    wait = placement(which, now);
-  m_last_told = {which.job->id(), which.place};
-  common::log_request_always("lasting_task_waits", which.job->id(),
-                             {{"step", which.place.step},
-                              {"task", which.place.index},
-                              {"waited_ms", which.lasted},
+    wait = placement_wait(entry, now);
+  m_last_reported = {entry.job->id(), entry.place};
+  common::log_request_always("lasting_task_waits", entry.job->id(),
+                             {{"step", entry.place.step},
+                              {"task", entry.place.index},
+                              {"waited_ms", entry.waited},
                               {"wait", to_text(wait.reason)},
                               {"worker", wait.worker},
                               {"zone", wait.zone},
                               {"workers", wait.workers},
-                              {"lease_left_ms", wait.lease_left},
-                              {"unheard_ms", wait.unheard},
+                              {"lease_left_ms", wait.lease_remaining},
+                              {"unheard_ms", wait.since_heard},
                               {"detail", wait.detail}});
-  m_told.push_back({m_last_told, which.lasted, std::move(wait)});
+  m_reported.push_back({m_last_reported, entry.waited, std::move(wait)});
 }
 
 duration wait_report::longest() const
 {
   duration longest{0};
   for (const waiting_task& each : m_waiting)
-    longest = std::max(longest, each.lasted);
+    longest = std::max(longest, each.waited);
   return longest;
 }
 
-void wait_report::tell_sum(time_point now) const
+void wait_report::report_summary(time_point now) const
 {
   std::array<std::size_t, static_cast<std::size_t>(wait_reason::count)> counts{};
   for (const waiting_task& each : m_waiting)
-    ++counts.at(static_cast<std::size_t>(wait_of(each, now).reason));
+    ++counts.at(static_cast<std::size_t>(wait_before_placement(each, now).reason));
   std::string by_wait;
   for (std::size_t i = 0; i < counts.size(); ++i)
   {
     if (counts.at(i) > 0)
-      by_wait += (by_wait.empty() ? "" : ", ") + std::string(k_names.at(i)) + " " +
+      by_wait += (by_wait.empty() ? "" : ", ") + std::string(k_reason_names.at(i)) + " " +
                  std::to_string(counts.at(i));
   }
   common::log_process("lasting_tasks_wait", {{"tasks", m_waiting.size()},
-                                             {"told", m_told.size()},
-                                             {"not_told", m_waiting.size() - m_told.size()},
+                                             {"told", m_reported.size()},
+                                             {"not_told", m_waiting.size() - m_reported.size()},
                                              {"longest_ms", longest()},
                                              {"by_wait", by_wait}});
 }
--- a/Source/Core/Scheduling/WaitReport.h
+++ b/Source/Core/Scheduling/WaitReport.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// Why tasks that last do not run: which wait each of them is in, by the predicates that the placer,
-// the takeover's accounting and the holder decide by.
+// Reports why long-running tasks do not run. The reason is found with the same predicates that the
+// placer, the takeover accounting and the worker holder use for their decisions.
 
 #include <array>
 #include <optional>
@@ -22,102 +22,108 @@
 {
 enum class wait_reason
 {
-  may_not_place,   // no task may be started in the partition
-  unaccounted,     // it may run on a worker of an earlier owner that is not heard yet
-  run_orphaned,    // its run was sent to an earlier life of the worker
-  run_stopping,    // its run is being stopped
-  run_silent,      // its run's worker does not answer
-  run_unanswered,  // its start has no answer
-  run_unheld,      // its run's worker is not held in time
-  renewal,         // lost unheard, it needs a fresh renewal of the ownership
+  may_not_place,   // the owner may not start any task of the partition now
+  unaccounted,     // may run on a worker of an earlier owner that has not answered yet
+  run_orphaned,    // the run was sent to an earlier incarnation of the worker
+  run_stopping,    // the run is being stopped
+  run_silent,      // the run's worker does not answer
+  run_unanswered,  // the start request has no reply
+  run_unheld,      // the owner's hold to the run's worker is overdue
+  renewal,         // a run was lost and its end is unknown: needs a recent ownership renewal
   gang,            // members of an earlier run have not ended
-  trial_postponed, // it is suspected to crash workers
-  announcement,    // its trial's announcement is not written
-  begin_mark,      // it is not written that the step may run in the zone
-  unplaced,        // not looked into any further
-  no_worker,       // there is none, or the policy permits none
-  worker_unusable, // what keeps it from the worker that would come nearest to having it
+  trial_postponed, // suspected of crashing workers; its next trial is postponed
+  announcement,    // the announcement of its trial is not written yet
+  begin_mark,      // the mark that the step may run in the zone is not written yet
+  unplaced,        // no reason found without checking all workers
+  no_worker,       // there is no worker, or the policy permits none
+  // The remaining reasons say why the task does not start on the worker that passes most of the
+  // placer's checks (see placer::obstacle).
+  worker_unusable,
   other_zone,
   worker_unsuitable,
   no_room,
   unfit_for_trial,
   reserved,
   no_ticket,
-  turn, // there is a worker for it: it waits for a pass that looks at it
+  turn, // a worker could take the task, which waits for a pass that tries to place it
   count
 };
 
 std::string_view to_text(wait_reason reason);
 
-// The wait that a task is in.
+// Why a task waits, with details.
 struct task_wait
 {
   wait_reason reason = wait_reason::unplaced;
-  // The worker that is waited for or would come nearest, and how many there are like it.
+  // The worker that the task waits for or that passes most checks; `workers` is the number of
+  // workers in the same state.
   std::string worker;
   std::string zone;
   std::size_t workers = 0;
-  duration lease_left{0}; // until the worker's lease or the owner's authority is over
-  duration unheard{0};    // since the worker or the store was heard
+  duration lease_remaining{0}; // until the end of the worker's lease or the owner's authority
+  duration since_heard{0};     // since the last answer of the worker or confirmation by the store
   std::string detail;
 };
 
 class wait_report
 {
 public:
-  // A task that has not run for so long is told.
-  static constexpr std::chrono::seconds k_patience{3};
-  // Of those, so many an update; the others are counted, and have their turn later.
-  static constexpr std::size_t k_most_told = 10;
+  // Only tasks that have not run for longer than this are reported.
+  static constexpr std::chrono::seconds k_report_after{3};
+  // The number of tasks reported in detail per update. The others are counted, and reported in
+  // later updates in rotation.
+  static constexpr std::size_t k_max_reported = 10;
 
-  wait_report(scheduler_state& state, const placer& places, const crash_watch& crashes,
+  wait_report(scheduler_state& state, const placer& task_placer, const crash_watch& crashes,
               const takeover_accounting& accounting, const worker_holder& holder);
 
   // Called once a second.
   void update(time_point now);
 
-  // As of the latest update.
-  struct told_wait
+  // A task reported by the latest update.
+  struct reported_wait
   {
     task_ref task;
-    duration lasted;
+    duration waited;
     task_wait wait;
   };
   std::size_t waiting() const { return m_waiting.size(); }
   duration longest() const;
-  const std::vector<told_wait>& told() const { return m_told; }
+  const std::vector<reported_wait>& reported() const { return m_reported; }
 
 private:
   struct waiting_task
   {
     job_record* job = nullptr;
     task_place place;
-    duration lasted{0};
+    duration waited{0};
   };
-  using check = std::optional<task_wait> (wait_report::*)(const waiting_task&, time_point) const;
+  using wait_check = std::optional<task_wait> (wait_report::*)(const waiting_task&,
+                                                               time_point) const;
 
   void find_waiting(job_record& job, std::uint32_t cycle, std::uint32_t step, time_point now);
-  bool runs(const task_record& task, time_point now) const;
-  // What is known without a look at all workers.
-  task_wait wait_of(const waiting_task& which, time_point now) const;
-  std::optional<task_wait> placing_ended(const waiting_task& which, time_point now) const;
-  std::optional<task_wait> unaccounted(const waiting_task& which, time_point now) const;
-  std::optional<task_wait> doubtful_run(const waiting_task& which, time_point now) const;
-  std::optional<task_wait> kept_back(const waiting_task& which, time_point now) const;
-  wait_reason doubt_about(const run_record& run, time_point now) const;
-  task_wait placement(const waiting_task& which, time_point now) const;
-  void tell(const waiting_task& which, time_point now);
-  void tell_sum(time_point now) const;
+  bool is_running(const task_record& task, time_point now) const;
+  // The reason as far as it is known without checking all workers; else `unplaced`.
+  task_wait wait_before_placement(const waiting_task& entry, time_point now) const;
+  std::optional<task_wait> placing_disabled(const waiting_task& entry, time_point now) const;
+  std::optional<task_wait> unaccounted(const waiting_task& entry, time_point now) const;
+  std::optional<task_wait> stalled_run(const waiting_task& entry, time_point now) const;
+  std::optional<task_wait> held_back(const waiting_task& entry, time_point now) const;
+  wait_reason run_problem(const run_record& run, time_point now) const;
+  task_wait placement_wait(const waiting_task& entry, time_point now) const;
+  void report(const waiting_task& entry, time_point now);
+  void report_summary(time_point now) const;
 
-  static const std::array<check, 4> k_checks;
+  static const std::array<wait_check, 4> k_wait_checks;
 
   scheduler_state& m_state;
   const placer& m_placer;
   const crash_watch& m_crashes;
   const takeover_accounting& m_accounting;
   const worker_holder& m_holder;
-  std::vector<waiting_task> m_waiting; // in the order of their references
-  std::vector<told_wait> m_told;
-  task_ref m_last_told;
+  std::vector<waiting_task>
+      m_waiting; // ordered by task_ref, rotated so that the reported ones come first
+  std::vector<reported_wait> m_reported;
+  task_ref m_last_reported;
 };
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/ZoneChooser.cpp
+++ b/Source/Core/Scheduling/ZoneChooser.cpp
@@ -12,28 +12,29 @@
 {
 namespace
 {
-// A queue's policy permits a step on 35 to 70 % of the workers at the sites, so a zone should have
-// room for more tasks than there are.
-constexpr std::uint32_t k_room_factor = 2;
+// A zone needs free capacity for this many times the step's tasks, because a queue's policy permits
+// a step only on 35 to 70 % of the workers at the sites.
+constexpr std::uint32_t k_capacity_factor = 2;
 
-std::uint32_t tasks_that_fit(const common::resources& task, const common::resources& room,
-                             std::uint32_t most)
+std::uint32_t tasks_that_fit(const common::resources& task, const common::resources& free,
+                             std::uint32_t max_per_worker)
 {
   using common::resources;
-  if (!task.fits_in(room))
+  if (!task.fits_in(free))
     return 0;
-  std::int64_t count = most;
+  std::int64_t count = max_per_worker;
   for (const auto member : {&resources::cpu_millis, &resources::memory_mib,
                             &resources::accelerators, &resources::slots, &resources::connections})
   {
     if (task.*member > 0)
-      count = std::min(count, room.*member / task.*member);
+      count = std::min(count, free.*member / task.*member);
   }
   return static_cast<std::uint32_t>(count);
 }
 
-// The zone that the job's tasks are kept in, if it is one.
-std::string zone_so_far(const cycle_record& cycle)
+// The zone to which the cycle's tasks are restricted; empty if none of its steps has a begin mark
+// or one of them may run in any zone.
+std::string zone_of(const cycle_record& cycle)
 {
   std::string zone;
   for (const step_record& step : cycle.steps)
@@ -50,7 +51,7 @@
 
 zone_chooser::zone_chooser(const scheduler_state& state) : m_state(state) {}
 
-bool zone_chooser::has_time(const job_record& job, std::uint32_t step, time_point now) const
+bool zone_chooser::has_slack(const job_record& job, std::uint32_t step, time_point now) const
 {
   return job.objective() - (now + job.chain_from(step)) > m_state.options.longest_cut;
 }
@@ -58,25 +59,27 @@
 std::string zone_chooser::choose(const job_record& job, std::uint32_t cycle, std::uint32_t step,
                                  time_point now) const
 {
-  const cycle_record& in = job.cycles()[cycle];
-  const step_record& record = in.steps[step];
+  const cycle_record& its_cycle = job.cycles()[cycle];
+  const step_record& record = its_cycle.steps[step];
   const jobs::step_spec& spec = *record.spec;
-  if (spec.gang || spec.long_running || spec.fills_idle || has_time(job, step, now))
+  if (spec.gang || spec.long_running || spec.fills_idle || has_slack(job, step, now))
     return {};
-  const std::uint32_t wanted = spec.count * k_room_factor;
-  const std::uint32_t most = spec.most_per_worker == 0 ? wanted : spec.most_per_worker;
-  std::map<std::string, std::uint32_t> room; // by zone, in tasks
+  const std::uint32_t wanted_tasks = spec.count * k_capacity_factor;
+  const std::uint32_t max_per_worker =
+      spec.most_per_worker == 0 ? wanted_tasks : spec.most_per_worker;
+  std::map<std::string, std::uint32_t> capacity; // number of tasks that fit, by zone
   for (const auto& [id, worker] : m_state.workers)
   {
-    if (m_state.usable(*worker, now) && worker->slow_until <= now && suits(*worker, job, record))
-      room[worker->info.zone] += tasks_that_fit(room_of(spec), worker->free(), most);
+    if (m_state.usable(*worker, now) && worker->slow_until <= now &&
+        meets_requirements(*worker, job, record))
+      capacity[worker->info.zone] += tasks_that_fit(room_of(spec), worker->free(), max_per_worker);
   }
-  std::string so_far = zone_so_far(in);
-  if (!so_far.empty() && room[so_far] >= wanted)
-    return so_far;
-  const auto best = std::max_element(room.begin(), room.end(),
+  std::string current_zone = zone_of(its_cycle);
+  if (!current_zone.empty() && capacity[current_zone] >= wanted_tasks)
+    return current_zone;
+  const auto best = std::max_element(capacity.begin(), capacity.end(),
                                      [](const auto& left, const auto& right)
                                      { return left.second < right.second; });
-  return best == room.end() || best->second < wanted ? std::string() : best->first;
+  return best == capacity.end() || best->second < wanted_tasks ? std::string() : best->first;
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/ZoneChooser.h
+++ b/Source/Core/Scheduling/ZoneChooser.h
@@ -3,10 +3,11 @@
 
 #pragma once
 
-// Keeps the tasks of urgent jobs in one availability zone each.
+// Chooses the availability zone in which the tasks of an urgent job should run, one zone per job.
 //
-// When a zone is cut off, every job waits that has a task there; spread over all workers that is
-// nearly every job. A job with time to spare outlasts the cut, so it may use all workers.
+// While a zone is isolated, every job with a task in that zone waits. If tasks were spread over all
+// workers, this would be nearly every job. A job with enough slack can wait for the end of the
+// isolation and still be in time, so it may use all workers.
 
 #include <string>
 
@@ -19,13 +20,15 @@
 public:
   explicit zone_chooser(const scheduler_state& state);
 
-  // The zone in which the step's tasks should run: where its job runs already, else where most is
-  // free. Empty: any zone, since the job has time, needs several zones, or none has the room.
+  // The zone in which the step's tasks should run: the zone in which its cycle already runs, if
+  // that has the free capacity, else the zone with most free capacity. Empty if any zone will do:
+  // the step is a gang, long-running or fills idle capacity, its job has enough slack, or no zone
+  // alone has the capacity.
   std::string choose(const job_record& job, std::uint32_t cycle, std::uint32_t step,
                      time_point now) const;
 
 private:
-  bool has_time(const job_record& job, std::uint32_t step, time_point now) const;
+  bool has_slack(const job_record& job, std::uint32_t step, time_point now) const;
 
   const scheduler_state& m_state;
 };
--- a/Source/UnitTests/Scheduling/AdviceTest.cpp
+++ b/Source/UnitTests/Scheduling/AdviceTest.cpp
@@ -13,7 +13,7 @@
 {
 constexpr const char* k_job = "0123456789abcdef";
 
-// A queue whose policy names the workers, by calls that take so long.
+// A queue whose policy names the permitted workers, by advice calls of the given duration.
 struct advised_queue : scheduler_harness
 {
   void advise(milliseconds per_call)
@@ -38,9 +38,9 @@
 
 BOOST_AUTO_TEST_SUITE(AdviceTest)
 
-// Further, quiet-1: the first calls of 500 ms each named the two or three workers that had room,
-// and mostly none of them was permitted.
-BOOST_FIXTURE_TEST_CASE(the_first_long_call_names_workers_without_room_too, advised_queue)
+// Guards against a first long call (500 ms) that names only the two or three workers with free
+// capacity: mostly none of these was permitted.
+BOOST_FIXTURE_TEST_CASE(the_first_long_call_names_workers_without_free_capacity_too, advised_queue)
 {
   advise(milliseconds{400});
   const std::string running_job = "0000000000000001";
@@ -61,10 +61,10 @@
   BOOST_TEST(questions.back().workers.size() == 2U);
 }
 
-// A step that has begun in one zone under an earlier owner may be asked about for the first time
-// when that zone has no worker for it. It has to be asked about in other zones, or it waits for
-// good.
-BOOST_FIXTURE_TEST_CASE(a_step_whose_zone_has_no_worker_is_asked_about_elsewhere, advised_queue)
+// Guards against a step that waits forever: under an earlier owner it has begun in one zone, and
+// when this owner first requests advice for it, that zone has no suitable worker. Advice then has
+// to be requested for workers of other zones.
+BOOST_FIXTURE_TEST_CASE(a_step_whose_zone_has_no_worker_gets_advice_for_other_zones, advised_queue)
 {
   for (const milliseconds per_call : {milliseconds{10}, milliseconds{400}})
   {
--- a/Source/UnitTests/Scheduling/BacklogGaugesTest.cpp
+++ b/Source/UnitTests/Scheduling/BacklogGaugesTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The gauges of how far an owner is behind.
+// The gauges that show how far an owner is behind.
 
 #include <boost/test/unit_test.hpp>
 
@@ -71,7 +71,7 @@
   BOOST_TEST(metrics.value(gauge::holds_overdue) == 0U);
 }
 
-// Its holds are repeated in time: the worker is at fault, not the owner.
+// The owner repeats the holds to a silent worker in time, so the worker is at fault, not the owner.
 BOOST_FIXTURE_TEST_CASE(a_silent_worker_is_counted_apart_from_overdue_holds, scheduler_harness)
 {
   send_first_start();
--- a/Source/UnitTests/Scheduling/BacklogTest.cpp
+++ b/Source/UnitTests/Scheduling/BacklogTest.cpp
@@ -1,10 +1,13 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// A backlog of a thousand steps and more. Pattern: 147 instances and 1,100 workers, a burst on a
-// cell that is 75 % taken, then a fifth of the workers lost; 1,200 jobs waited. Each pass of the
-// owner looked at all of them, every 15 ms; its commits came 3 a second instead of 25, tickets were
-// over before their starts were sent, and what waited grew to the end of the day (527 tasks lost).
+// A backlog of a thousand steps and more. Guards against passes that examine the whole backlog.
+//
+// The failure came about with 147 instances and 1,100 workers, by a burst of jobs on a cell whose
+// capacity was 75 % used, and then the loss of a fifth of the workers: 1,200 jobs waited. Each of
+// the owner's passes, every 15 ms, examined all of them. The owner made 3 commits a second instead
+// of 25, tickets expired before their starts were sent, and the backlog grew until the end of the
+// day (527 tasks lost).
 
 #include <algorithm>
 #include <string>
@@ -25,7 +28,7 @@
   long_backlog()
   {
     add_worker(worker("w1"));
-    // Larger than the worker, and handed in first.
+    // These jobs are submitted first, and their tasks are larger than the worker.
     for (std::size_t i = 0; i < k_backlog; ++i)
       scheduler->add_job(job("blocked-" + std::to_string(10000 + i), {step_of(1, 17000)}), now);
     pass(milliseconds{5});
@@ -36,7 +39,7 @@
 
 BOOST_AUTO_TEST_SUITE(BacklogTest)
 
-BOOST_FIXTURE_TEST_CASE(a_pass_looks_at_a_part_of_it, long_backlog)
+BOOST_FIXTURE_TEST_CASE(a_pass_examines_a_part_of_the_backlog, long_backlog)
 {
   for (int i = 0; i < 20; ++i)
   {
@@ -53,10 +56,10 @@
   BOOST_TEST((scheduler->pass_spacing() < milliseconds{50}));
 }
 
-BOOST_FIXTURE_TEST_CASE(what_fits_behind_it_has_its_turn, long_backlog)
+BOOST_FIXTURE_TEST_CASE(a_job_that_fits_behind_the_backlog_is_started, long_backlog)
 {
   scheduler->add_job(job("fits", {step_of(1)}), now);
-  // One turn for the mark that it begins, one for its start.
+  // One rotation to request the begin mark, one to send the start.
   for (std::size_t i = 0; i < 2 * options.backlog_turns && starts.empty(); ++i)
   {
     pass(milliseconds{5});
@@ -66,7 +69,7 @@
   BOOST_TEST(starts.front().task.job == "fits");
 }
 
-BOOST_FIXTURE_TEST_CASE(what_is_more_urgent_is_served_at_once, long_backlog)
+BOOST_FIXTURE_TEST_CASE(a_more_urgent_job_is_started_at_once, long_backlog)
 {
   yardhill::jobs::queue_policy urgent;
   urgent.service = "service";
@@ -78,7 +81,7 @@
   first.queue = "urgent";
   scheduler->add_job(first, now);
   step();
-  commit_and_step(); // that it has begun
+  commit_and_step(); // writes the begin mark
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   BOOST_TEST(starts.front().task.job == "first");
 }
--- a/Source/UnitTests/Scheduling/CallsPerTaskTest.cpp
+++ b/Source/UnitTests/Scheduling/CallsPerTaskTest.cpp
@@ -1,12 +1,14 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What a task costs in calls to its worker: a start, and one hold that brings its end and takes the
-// one before. Pattern: hundreds of workers under one owner, whose link or processor is the
-// bottleneck, so that each call more is one that everybody waits for. On a link of 2 Mbit/s with
-// 120 workers the owner's calls were a stop for each task that had ended (23 of 100 calls), an
-// acknowledgement apart from the next hold (15 of 100), and copies of starts whose answers were
-// only slow (up to 12 for one start).
+// The number of calls to a worker per task: one start, and one hold that returns the task's end and
+// acknowledges the previous end.
+//
+// With hundreds of workers under one owner, the owner's link or processor is the bottleneck, so all
+// tasks wait for each unnecessary call. On a link of 2 Mbit/s with 120 workers the owner's
+// unnecessary calls were: a stop for each task that had already ended (23 of 100 calls), an
+// acknowledgement sent separately from the next hold (15 of 100), and repeated starts whose replies
+// were merely slow (up to 12 for one start).
 
 #include <boost/test/unit_test.hpp>
 
@@ -27,9 +29,9 @@
     BOOST_TEST_REQUIRE(holds.size() == 1U);
   }
 
-  void slow_answers(milliseconds patience, milliseconds round_trip)
+  void slow_answers(milliseconds timeout, milliseconds round_trip)
   {
-    scheduler->set_order_times(patience, round_trip);
+    scheduler->set_order_times(timeout, round_trip);
   }
 };
 
@@ -37,7 +39,7 @@
 {
   unanswered_start() { send_first_start(); }
 
-  // How often the start is sent in the time.
+  // How often the start is sent within this time.
   std::size_t sends_within(milliseconds span)
   {
     starts.clear();
@@ -99,26 +101,28 @@
   BOOST_TEST(sends_within(milliseconds{1250}) == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(starts_are_sent_again_ever_later_while_answers_are_slow, unanswered_start)
+BOOST_FIXTURE_TEST_CASE(starts_are_sent_again_at_growing_intervals_while_answers_are_slow,
+                        unanswered_start)
 {
   scheduler->set_order_times(milliseconds{500}, milliseconds{350});
-  // After 500, 1,500 and 3,500 ms.
+  // The start is sent again after 500, 1,500 and 3,500 ms.
   BOOST_TEST(sends_within(milliseconds{4000}) == 3U);
 }
 
-// A ticket that is over stays over: no copy of the start can be carried out any more, and only an
-// earlier one can have been. The start was sent up to 18 times with it, for a whole lease.
-BOOST_FIXTURE_TEST_CASE(a_start_whose_ticket_is_over_is_not_sent_again, unanswered_start)
+// Once a ticket has expired, no further copy of the start can be carried out; only an earlier copy
+// may have been. Guards against sending the start again with that ticket for a whole lease (up to
+// 18 times).
+BOOST_FIXTURE_TEST_CASE(a_start_whose_ticket_has_expired_is_not_sent_again, unanswered_start)
 {
   BOOST_TEST_REQUIRE(sends_within(milliseconds{325}) == 1U);
   holds.clear();
   answer_start(starts.front(), call_end::bad_ticket);
   BOOST_TEST(sends_within(milliseconds{2000}) == 0U);
   BOOST_TEST_REQUIRE(!holds.empty());
-  BOOST_TEST(holds.front().wait.count() == 0); // the lists are asked for at once
+  BOOST_TEST(holds.front().wait.count() == 0); // the worker's lists are requested at once
 }
 
-BOOST_FIXTURE_TEST_CASE(its_task_is_started_anew_once_the_lists_do_not_show_it, unanswered_start)
+BOOST_FIXTURE_TEST_CASE(its_task_is_started_again_once_the_lists_do_not_show_it, unanswered_start)
 {
   BOOST_TEST_REQUIRE(sends_within(milliseconds{325}) == 1U);
   const time_point before = now;
@@ -129,7 +133,7 @@
   earlier.worker = worker_id("w1");
   earlier.end = call_end::done;
   earlier.clock = clock();
-  earlier.sent = before; // an earlier copy may have come between
+  earlier.sent = before; // before the reply; an earlier copy of the start may have arrived since
   scheduler->hold_answered(earlier, now);
   step();
   BOOST_TEST(starts.empty());
@@ -140,7 +144,7 @@
   BOOST_TEST(starts.front().run == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(its_task_goes_on_if_an_earlier_copy_was_carried_out, unanswered_start)
+BOOST_FIXTURE_TEST_CASE(its_task_continues_if_an_earlier_copy_was_carried_out, unanswered_start)
 {
   BOOST_TEST_REQUIRE(sends_within(milliseconds{325}) == 1U);
   const start_command order = starts.front();
@@ -153,8 +157,9 @@
   BOOST_TEST(stops.empty());
 }
 
-// The same without any answer: the ticket's time is known here.
-BOOST_FIXTURE_TEST_CASE(a_start_is_not_sent_again_after_its_tickets_time, scheduler_harness)
+// A start without any reply is not sent again either after its ticket has expired, because the
+// owner knows the ticket's expiry.
+BOOST_FIXTURE_TEST_CASE(a_start_is_not_sent_again_after_its_ticket_has_expired, scheduler_harness)
 {
   yardhill::jobs::queue_policy advised;
   advised.max_attempts = 3;
--- a/Source/UnitTests/Scheduling/FirstOrdersTest.cpp
+++ b/Source/UnitTests/Scheduling/FirstOrdersTest.cpp
@@ -7,8 +7,8 @@
 
 #include "Scheduling/SchedulerHarness.h"
 
-// A successor tells from an owner's row whether that owner can have given orders. So nothing is
-// started, and no lease extended, before the owner's first renewal is written.
+// An owner starts nothing and extends no lease before its first renewal is written. A successor
+// concludes from the owner's row whether that owner can have sent requests to workers.
 
 using namespace yardhill::scheduling;
 
@@ -38,17 +38,18 @@
 
 BOOST_AUTO_TEST_SUITE(FirstOrdersTest)
 
-BOOST_FIXTURE_TEST_CASE(nothing_is_ordered_before_the_first_renewal, new_owner)
+BOOST_FIXTURE_TEST_CASE(no_task_is_started_and_no_lease_extended_before_the_first_renewal,
+                        new_owner)
 {
   BOOST_TEST(starts.empty());
   BOOST_TEST(!extends_a_lease());
 }
 
-BOOST_FIXTURE_TEST_CASE(orders_begin_with_the_first_renewal, new_owner)
+BOOST_FIXTURE_TEST_CASE(starts_begin_with_the_first_renewal, new_owner)
 {
   scheduler->begin_orders();
   step();
-  commit(); // that the step begins
+  commit(); // writes the begin mark
   step();
   BOOST_TEST(starts.size() == 1U);
 }
--- a/Source/UnitTests/Scheduling/LateAdviceTest.cpp
+++ b/Source/UnitTests/Scheduling/LateAdviceTest.cpp
@@ -1,12 +1,12 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Jobs whose objective had passed waited 45 s for their first advice, with most of the cell's room
-// free. The calls for advice that can be under way are few, and the room that they are meant for is
-// shared out among the waiting steps in order of urgency; jobs that can still be in time come
-// first, and a queue whose policy permits them nowhere asks again and again. What proved it: the
-// first `advice` of such a job came when the younger ones had ended, and none was under way for it
-// before.
+// Guards against late jobs that get no advice: jobs whose objective had passed waited 45 s for
+// their first advice although most of the cell's capacity was free. Few advice requests can be in
+// flight, and the free capacity that they are meant for is assigned to the waiting steps in order
+// of urgency. Jobs that can still be in time come first, and if their queue's policy permits them
+// nowhere, they request advice again and again. The first `advice` event of a late job came only
+// when the younger jobs had ended, and no request for that job was in flight before.
 
 #include <algorithm>
 #include <string>
@@ -23,7 +23,7 @@
 {
 constexpr int k_younger = 12;
 
-// Younger jobs that are permitted nowhere, and one that is late and would be permitted.
+// Younger jobs that are permitted nowhere, and a late job that would be permitted.
 struct crowded_queue : scheduler_harness
 {
   crowded_queue()
@@ -39,11 +39,12 @@
     for (int i = 0; i < k_younger; ++i)
       scheduler->add_job(job("younger-" + std::to_string(i), {step_of(4)}), now);
     auto late_step = step_of(1);
-    late_step.estimate = seconds{500}; // it can't be in time any more
+    // Longer than the time left until the objective, so the job cannot be in time.
+    late_step.estimate = seconds{500};
     scheduler->add_job(job(k_job, {late_step}), now);
   }
 
-  // Whether the late job was asked about within that time.
+  // Whether advice for the late job is requested within this time.
   bool asked_within(seconds time)
   {
     for (milliseconds passed{0}; passed < time; passed += milliseconds{20})
@@ -67,7 +68,7 @@
 
 BOOST_AUTO_TEST_SUITE(LateAdviceTest)
 
-BOOST_FIXTURE_TEST_CASE(a_late_job_is_asked_about_in_its_turn, crowded_queue)
+BOOST_FIXTURE_TEST_CASE(a_late_job_gets_advice_in_its_turn, crowded_queue)
 {
   BOOST_TEST(asked_within(seconds{6}));
 }
--- a/Source/UnitTests/Scheduling/PendingTest.cpp
+++ b/Source/UnitTests/Scheduling/PendingTest.cpp
@@ -24,8 +24,8 @@
 
 BOOST_AUTO_TEST_SUITE(PendingTest)
 
-// Thies, trouble-2 with seed 11, 39.2 s: four jobs whose starts had been sent into a zone that was
-// cut off counted as begun; 0 were said to wait.
+// Guards against counting a job as begun once its start is sent: four jobs whose starts had been
+// sent into an isolated zone counted as begun, and 0 jobs were reported as waiting.
 BOOST_FIXTURE_TEST_CASE(a_job_waits_until_a_start_of_it_is_answered, started_job)
 {
   BOOST_TEST(pending() == 1U);
@@ -47,7 +47,7 @@
   BOOST_TEST(pending() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(after_a_takeover_a_job_waits_until_something_of_it_is_heard)
+BOOST_AUTO_TEST_CASE(after_a_takeover_a_job_without_known_progress_counts_as_waiting)
 {
   scheduler_harness owner(1000);
   yardhill::jobs::job_progress progress = takeover_harness::begun();
--- a/Source/UnitTests/Scheduling/ShrunkRoomTest.cpp
+++ b/Source/UnitTests/Scheduling/ShrunkRoomTest.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Workers whose room shrinks and grows again while they run. One whose room has shrunk below what
-// runs there has less than nothing free; taken from the cell's free room, that left none for
-// others: while a few workers were small, no queue with a policy was advised, with half of the cell
-// idle.
+// Workers whose capacity shrinks and grows again while they run tasks. A worker whose capacity has
+// shrunk below what its tasks use has a negative free capacity. Guards against including this in
+// the cell's free capacity, which left none for other workers: while a few workers were small, no
+// advice was requested for any queue with a policy, although half of the cell was idle.
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,7 +16,8 @@
 
 namespace
 {
-// w1 has 16 processors and runs 12 tasks of one; its room shrinks to two processors.
+// w1 has 16 processors and runs 12 tasks that use one each; then its capacity shrinks to two
+// processors.
 struct shrunk_worker : scheduler_harness
 {
   shrunk_worker()
@@ -24,12 +25,12 @@
     add_worker(worker("w1"));
     start_job(k_job, step_of(12));
     BOOST_TEST_REQUIRE(starts.size() == 12U);
-    order = starts;
+    first_starts = starts;
     answer_all_running();
-    set_room(2000);
+    set_capacity(2000);
   }
 
-  void set_room(std::int64_t cpu_millis)
+  void set_capacity(std::int64_t cpu_millis)
   {
     clear();
     scheduler->worker_entry(worker("w1", cpu_millis), now);
@@ -39,7 +40,7 @@
   void answer_all_running()
   {
     std::vector<listed_run> runs;
-    for (const start_command& each : order)
+    for (const start_command& each : first_starts)
     {
       answer_start(each, call_end::done);
       runs.push_back(running(each));
@@ -47,28 +48,30 @@
     answer_hold("w1", runs);
   }
 
-  std::vector<start_command> order;
+  std::vector<start_command> first_starts;
 };
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(ShrunkRoomTest)
 
-BOOST_FIXTURE_TEST_CASE(nothing_is_started_over_it_and_what_runs_goes_on, shrunk_worker)
+BOOST_FIXTURE_TEST_CASE(nothing_is_started_beyond_the_capacity_and_running_tasks_continue,
+                        shrunk_worker)
 {
   start_job(k_other_job, step_of(1));
   BOOST_TEST(starts.empty());
   BOOST_TEST(stops.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(what_waits_starts_when_it_grows_again, shrunk_worker)
+BOOST_FIXTURE_TEST_CASE(a_waiting_task_starts_when_the_capacity_grows_again, shrunk_worker)
 {
   start_job(k_other_job, step_of(1));
-  set_room(16000);
+  set_capacity(16000);
   commit_and_step();
   BOOST_TEST(starts.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_task_that_asks_for_no_processor_is_not_started_over_it, shrunk_worker)
+BOOST_FIXTURE_TEST_CASE(a_task_that_requests_no_processor_is_not_started_beyond_the_capacity,
+                        shrunk_worker)
 {
   auto filling = step_of(1);
   filling.fills_idle = true;
@@ -76,13 +79,13 @@
   BOOST_TEST(starts.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(it_takes_nothing_of_other_workers_room, shrunk_worker)
+BOOST_FIXTURE_TEST_CASE(the_free_capacity_of_other_workers_is_not_reduced, shrunk_worker)
 {
   add_worker(worker("w2", 8000));
   BOOST_TEST(scheduler->load().free_cpu == 8000);
 }
 
-BOOST_FIXTURE_TEST_CASE(queues_with_a_policy_are_advised_on_other_workers, shrunk_worker)
+BOOST_FIXTURE_TEST_CASE(advice_is_requested_about_other_workers, shrunk_worker)
 {
   add_worker(worker("w2", 8000));
   yardhill::jobs::queue_policy policy;
@@ -96,7 +99,7 @@
   BOOST_TEST(questions.front().workers.front().value == "w2");
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_that_takes_over_meanwhile_finds_it_full, takeover_harness)
+BOOST_FIXTURE_TEST_CASE(an_owner_that_takes_over_meanwhile_starts_nothing_there, takeover_harness)
 {
   restore_claim("w1", {{"10.0.0.9", 80}, "", false, {}});
   restore_begun(k_job);
--- a/Source/UnitTests/Scheduling/StartBudgetTest.cpp
+++ b/Source/UnitTests/Scheduling/StartBudgetTest.cpp
@@ -1,8 +1,9 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// An owner at the bound of its processor sent starts as fast as it found room: its loop fell
-// behind, leases lapsed and tasks were lost whose workers were sound.
+// Guards against an owner that sends starts as fast as it finds free capacity although its
+// processor is saturated: its event loop fell behind, leases expired, and tasks were lost on
+// healthy workers.
 
 #include <algorithm>
 #include <string>
@@ -26,7 +27,8 @@
   start_budget starts{options};
   time_point now{seconds{1000}};
 
-  // As many starts as it bears, over some time; a hundred in a pass without a bound.
+  // Sends as many starts as the budget allows, but at most a hundred per pass. Returns their
+  // number.
   int run(duration span, duration lateness)
   {
     int sent = 0;
@@ -42,7 +44,7 @@
   }
 };
 
-// More tasks than a paced pass may start, and room for all of them.
+// A late event loop, and a worker with capacity for far more tasks than a paced pass may start.
 struct paced : scheduler_harness
 {
   static constexpr std::uint32_t k_many = 2000;
@@ -60,7 +62,7 @@
     return step;
   }
 
-  // The first passes have it written that the job begins.
+  // Adds the job and makes passes until its first start; the begin mark has to be written before.
   void begin(const char* id, const yardhill::jobs::step_spec& step)
   {
     start_job(id, step);
@@ -79,13 +81,13 @@
 
 BOOST_AUTO_TEST_SUITE(StartBudgetTest)
 
-BOOST_FIXTURE_TEST_CASE(a_loop_that_is_on_time_bounds_nothing, budget)
+BOOST_FIXTURE_TEST_CASE(a_loop_that_is_on_time_sets_no_limit, budget)
 {
   BOOST_TEST(run(seconds{1}, milliseconds{99}) == 10000);
   BOOST_TEST(!starts.bounded());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_late_loop_lowers_the_rate_quickly_and_never_to_nothing, budget)
+BOOST_FIXTURE_TEST_CASE(a_late_loop_lowers_the_rate_quickly_but_not_below_the_minimum, budget)
 {
   run(seconds{1}, milliseconds{0});
   run(milliseconds{100}, k_late);
@@ -94,22 +96,23 @@
   run(seconds{1}, k_late);
   BOOST_TEST(*starts.rate() < 0.4 * first);
   run(seconds{60}, k_late);
-  BOOST_TEST(*starts.rate() == options.least);
+  BOOST_TEST(*starts.rate() == options.min_rate);
   const int sent = run(seconds{10}, k_late);
-  BOOST_TEST(sent >= static_cast<int>(9 * options.least));
-  BOOST_TEST(sent <= static_cast<int>(11 * options.least));
+  BOOST_TEST(sent >= static_cast<int>(9 * options.min_rate));
+  BOOST_TEST(sent <= static_cast<int>(11 * options.min_rate));
 }
 
-BOOST_FIXTURE_TEST_CASE(it_rises_slowly_and_is_lifted, budget)
+BOOST_FIXTURE_TEST_CASE(the_rate_rises_slowly_until_the_limit_is_removed, budget)
 {
   run(seconds{60}, k_late);
   run(seconds{1}, milliseconds{0});
-  BOOST_TEST(*starts.rate() <= options.least + 1.1 * options.increase);
+  BOOST_TEST(*starts.rate() <= options.min_rate + 1.1 * options.increase_per_second);
   run(seconds{60}, milliseconds{0});
   BOOST_TEST(!starts.bounded());
 }
 
-// A late pass comes long after the one before: what it may send must not make the next one later.
+// A late pass comes long after the previous one. It must not send the starts of the whole pause at
+// once, or the next pass would be even later.
 BOOST_FIXTURE_TEST_CASE(a_pass_after_a_pause_sends_no_more_than_a_burst, budget)
 {
   run(seconds{60}, k_late);
@@ -118,12 +121,13 @@
   int sent = 0;
   for (; !starts.spent(); ++sent)
     starts.take();
-  BOOST_TEST(sent <= 1 + options.least * 0.1);
+  BOOST_TEST(sent <= 1 + options.min_rate * 0.1);
 }
 
-// A new owner's first pass starts hundreds of tasks; the bound that follows counted them, and
-// nothing was started for seconds.
-BOOST_FIXTURE_TEST_CASE(what_was_sent_without_a_bound_is_no_debt, budget)
+// Guards against counting starts that were sent before there was a limit: a new owner's first pass
+// starts hundreds of tasks; when these counted against the limit set afterwards, nothing was
+// started for seconds.
+BOOST_FIXTURE_TEST_CASE(starts_sent_without_a_limit_are_no_debt, budget)
 {
   now += k_pass;
   starts.begin_pass(milliseconds{0}, now);
@@ -132,7 +136,7 @@
   BOOST_TEST(run(milliseconds{500}, k_late) > 100);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_large_gang_holds_up_others_for_a_bounded_time, budget)
+BOOST_FIXTURE_TEST_CASE(a_large_gang_delays_other_starts_for_a_limited_time, budget)
 {
   run(seconds{1}, k_late);
   for (int i = 0; i < 10000; ++i)
@@ -140,7 +144,7 @@
   BOOST_TEST(run(seconds{1}, k_late) > 50);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_pass_of_a_late_loop_sends_a_part_of_what_has_room, paced)
+BOOST_FIXTURE_TEST_CASE(a_pass_of_a_late_loop_sends_a_part_of_the_possible_starts, paced)
 {
   start_job(k_job, wide());
   BOOST_TEST(starts.size() < 100U);
@@ -150,8 +154,8 @@
   BOOST_TEST(starts.size() > before);
 }
 
-// Holds extend leases: they are due however many starts wait, and go before them.
-BOOST_FIXTURE_TEST_CASE(holds_and_stops_are_not_bounded, paced)
+// Holds extend leases, so they are sent in time and before starts, however many starts wait.
+BOOST_FIXTURE_TEST_CASE(holds_and_stops_are_not_limited, paced)
 {
   begin(k_job, wide());
   pass(seconds{2});
@@ -166,7 +170,7 @@
   BOOST_TEST(holds.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_lasts_goes_before_first_starts_of_more_urgent_jobs, paced)
+BOOST_FIXTURE_TEST_CASE(long_running_tasks_start_before_first_starts_of_more_urgent_jobs, paced)
 {
   yardhill::jobs::queue_policy urgent;
   urgent.service = "service";
@@ -175,9 +179,9 @@
   usual.priority = 2;
   scheduler->set_policies({{"queue", urgent}, {"lasting", usual}});
   scheduler->add_job(job(k_job, {wide()}), now);
-  yardhill::jobs::step_spec lasting = wide(4);
-  lasting.long_running = true;
-  yardhill::jobs::accepted_job second = job(k_other_job, {lasting});
+  yardhill::jobs::step_spec long_running = wide(4);
+  long_running.long_running = true;
+  yardhill::jobs::accepted_job second = job(k_other_job, {long_running});
   second.queue = "lasting";
   scheduler->add_job(second, now);
   for (int i = 0; i < 10; ++i)
@@ -189,12 +193,12 @@
   BOOST_TEST(starts.size() < k_many);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_has_begun_goes_before_first_starts, paced)
+BOOST_FIXTURE_TEST_CASE(jobs_that_have_begun_start_before_first_starts, paced)
 {
   begin(k_other_job, wide(40));
-  answer_start(starts.front(), call_end::done); // it has begun
+  answer_start(starts.front(), call_end::done); // the job counts as begun
   scheduler->add_job(job(k_job, {wide()}), now);
-  // Its id comes first in the order of equals.
+  // Among equally urgent jobs the one with the lower id comes first, which is the begun job here.
   for (int i = 0; i < 4; ++i)
     next_pass();
   const auto first_of_new =
@@ -210,7 +214,7 @@
   BOOST_TEST((last_of_begun <= first_of_new));
 }
 
-// A gang starts whole or not at all, even if it is larger than what a pass may send.
+// A gang starts as a whole or not at all, so it may exceed the budget of a pass.
 BOOST_FIXTURE_TEST_CASE(a_gang_larger_than_the_budget_starts_whole, paced)
 {
   yardhill::jobs::step_spec gang = wide(500);
--- a/Source/UnitTests/Scheduling/StartMetricsTest.cpp
+++ b/Source/UnitTests/Scheduling/StartMetricsTest.cpp
@@ -11,16 +11,16 @@
 
 namespace
 {
-// One worker with room for one task, and a job that has waited for it.
+// One worker, and a job that has waited 400 ms for it and is then started.
 struct waited_job : scheduler_harness
 {
   explicit waited_job(const yardhill::jobs::step_spec& step)
   {
     const yardhill::jobs::wall_time wall{std::chrono::hours{1}};
     scheduler->set_wall_clock(wall, now);
-    yardhill::jobs::accepted_job handed_in = job(k_job, {step});
-    handed_in.accepted_at = wall;
-    scheduler->add_job(handed_in, now);
+    yardhill::jobs::accepted_job submitted = job(k_job, {step});
+    submitted.accepted_at = wall;
+    scheduler->add_job(submitted, now);
     pass(milliseconds{400});
     add_worker(worker("w1"));
     this->step();
@@ -28,7 +28,8 @@
     BOOST_TEST_REQUIRE(starts.size() == 1U);
   }
 
-  // Bounds of the histogram are an eighth of a decade apart.
+  // Whether the measured time is `time`, as far as the histogram can tell: its bucket bounds are an
+  // eighth of a decade apart.
   bool near(timing which, milliseconds time) const
   {
     const auto measured = metrics.quantile(which, 1.0);
@@ -39,18 +40,18 @@
 
 BOOST_AUTO_TEST_SUITE(StartMetricsTest)
 
-BOOST_AUTO_TEST_CASE(the_time_to_the_first_start_is_told_by_kind)
+BOOST_AUTO_TEST_CASE(the_time_to_the_first_start_is_recorded_by_kind)
 {
   const waited_job urgent(scheduler_harness::step_of(1));
   BOOST_TEST(urgent.near(timing::waiting_interactive, milliseconds{400}));
-  auto lasting = scheduler_harness::step_of(1);
-  lasting.long_running = true;
-  const waited_job service(lasting);
+  auto long_running = scheduler_harness::step_of(1);
+  long_running.long_running = true;
+  const waited_job service(long_running);
   BOOST_TEST(service.near(timing::waiting_service, milliseconds{400}));
   BOOST_TEST(service.metrics.quantile(timing::waiting_interactive, 1.0).count() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_second_run_is_not_told_again)
+BOOST_AUTO_TEST_CASE(a_second_run_is_not_recorded)
 {
   waited_job urgent(scheduler_harness::step_of(1));
   urgent.answer_start(urgent.starts.front(), call_end::done);
@@ -64,7 +65,7 @@
   BOOST_TEST(urgent.near(timing::waiting_interactive, milliseconds{400}));
 }
 
-BOOST_AUTO_TEST_CASE(load_tells_jobs_and_usable_workers)
+BOOST_AUTO_TEST_CASE(the_load_has_jobs_and_usable_workers)
 {
   waited_job urgent(scheduler_harness::step_of(1, 3000));
   const partition_load before = urgent.scheduler->load();
--- a/Source/UnitTests/Scheduling/StartWaitEstimatorTest.cpp
+++ b/Source/UnitTests/Scheduling/StartWaitEstimatorTest.cpp
@@ -1,9 +1,10 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// An owner at the bound of its processor accepted nearly all jobs of a day; most of them began when
-// they were worth nothing any more, and held up those that still were. Full workers alone are no
-// reason to refuse: their queue moves on as tasks end.
+// Guards against an owner that accepts nearly all jobs of a day although its processor is
+// saturated: most jobs began when they were worth nothing any more, and delayed those that still
+// were worth something. Full workers alone are no reason to refuse jobs, because their queue
+// advances as tasks end.
 
 #include <string>
 
@@ -42,7 +43,7 @@
     }
   }
 
-  // With room for everything.
+  // Adds a worker with capacity for all tasks.
   void add_wide_worker()
   {
     worker_info wide = worker("w1", 100'000'000);
@@ -88,21 +89,21 @@
   BOOST_TEST(!overloaded());
 }
 
-BOOST_FIXTURE_TEST_CASE(starts_that_wait_for_the_loop_alone_are_told, loaded)
+BOOST_FIXTURE_TEST_CASE(starts_that_wait_only_for_the_loop_are_an_overload, loaded)
 {
   add_wide_worker();
   add_jobs(2000, 1);
   play(milliseconds{500}, k_late);
-  BOOST_TEST(!overloaded()); // it may be a short stall
+  BOOST_TEST(!overloaded()); // it may be a short stall of the loop
   play(seconds{4}, k_late);
   BOOST_TEST_REQUIRE(overloaded());
-  // Some 100 starts a second, four a job.
+  // The owner sends about 100 starts a second, and each job needs four.
   const milliseconds wait = scheduler->start_waits(now).at(0);
   BOOST_TEST(wait.count() > 30000);
   BOOST_TEST(wait.count() < 120000);
 }
 
-BOOST_FIXTURE_TEST_CASE(it_ends_some_time_after_the_last_start_that_waited, loaded)
+BOOST_FIXTURE_TEST_CASE(the_overload_ends_some_time_after_the_last_start_that_waited, loaded)
 {
   add_wide_worker();
   add_jobs(200, 1);
--- a/Source/UnitTests/Scheduling/ZoneTest.cpp
+++ b/Source/UnitTests/Scheduling/ZoneTest.cpp
@@ -24,7 +24,7 @@
   return info;
 }
 
-// Two zones of two workers each; zone a has more room.
+// Two zones with two workers each; zone a has more capacity.
 struct two_zones : scheduler_harness
 {
   explicit two_zones(run_number first_run = 0) : scheduler_harness(first_run) {}
@@ -68,7 +68,8 @@
 
 BOOST_AUTO_TEST_SUITE(ZoneTest)
 
-// Periyar, scale-1, 33.5 s: of 17 previews under way when a zone was cut off, 15 had a task there.
+// Guards against spreading an urgent job over the zones: of 17 running `preview` jobs, 15 had a
+// task in the zone that became isolated.
 BOOST_FIXTURE_TEST_CASE(an_urgent_job_stays_in_one_zone, two_zones)
 {
   add_workers();
@@ -77,7 +78,7 @@
   BOOST_TEST(used().count("w2") + used().count("w4") == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_job_with_time_to_spare_uses_all_workers, two_zones)
+BOOST_FIXTURE_TEST_CASE(a_job_with_slack_uses_all_workers, two_zones)
 {
   yardhill::jobs::queue_policy policy;
   policy.latency_target = seconds{20};
@@ -112,9 +113,10 @@
   BOOST_TEST(used().count("w1") + used().count("w3") == 0U);
 }
 
-// The same day: the owner was in the zone that was cut off, and its successor held back every task
-// of every begun step until it heard that zone's workers again, 5 s later.
-BOOST_AUTO_TEST_CASE(what_has_begun_in_one_zone_waits_for_no_other)
+// Guards against waiting for workers of other zones after a takeover: the owner was in the isolated
+// zone, and its successor held back every task of every begun step until the workers of that zone
+// answered again, 5 s later.
+BOOST_AUTO_TEST_CASE(a_step_that_has_begun_in_one_zone_waits_for_no_other)
 {
   two_zones owner(1000);
   const std::string here = "0123456789abcde0";
@@ -142,8 +144,9 @@
   BOOST_TEST(owner.starts.size() == 3U);
 }
 
-// Orders into a zone that has just been cut off are lost, and each job that goes there with them.
-BOOST_FIXTURE_TEST_CASE(a_zone_that_answers_no_order_gets_none_until_it_is_heard, two_zones)
+// Start requests into a zone that has just become isolated are lost, which delays each job whose
+// tasks were sent there.
+BOOST_FIXTURE_TEST_CASE(a_zone_that_answers_no_start_gets_none_until_a_worker_answers, two_zones)
 {
   add_workers();
   place(step_of(4));
@@ -161,8 +164,8 @@
   BOOST_TEST(used().count("w1") + used().count("w3") > 0U);
 }
 
-// Found by reading: workers without runs are not asked anything, so if those that did not answer
-// are gone, nobody there would ever be heard.
+// Workers without runs get no calls. So if the workers that did not answer are gone, no worker of
+// the zone would ever be called again and answer.
 BOOST_FIXTURE_TEST_CASE(a_zone_whose_silent_workers_are_gone_is_tried_again, two_zones)
 {
   add_workers();
@@ -170,7 +173,7 @@
   for (const start_command& each : std::vector<start_command>(starts))
     answer_start(each, call_end::unanswered);
   clear();
-  start_job("0123456789abcde0", step_of(20)); // more than zone b has room for
+  start_job("0123456789abcde0", step_of(20)); // more than zone b has capacity for
   BOOST_TEST(used().count("w1") + used().count("w3") == 0U);
   pass(options.zone_retry + milliseconds{1});
   clear();
