--- a/Source/Core/Scheduling/Placer.cpp
+++ b/Source/Core/Scheduling/Placer.cpp
@@ -414,6 +414,7 @@
 void placer::start(job_record& job, const task_place& place, run_number number,
                    worker_record& worker, time_point now)
 {
+  // The run of a gang member was already added by add_member().
   const auto known = worker.runs.find({job.id(), place});
   run_record& run = known == worker.runs.end() ? m_state.add_run(job, place, number, worker, now)
                                                : *known->second;
