--- a/Source/Core/Node/OwnershipOptions.h
+++ b/Source/Core/Node/OwnershipOptions.h
@@ -22,7 +22,7 @@
   // the store may be slow.
   common::duration silence = std::chrono::milliseconds{3000};
   // The same if the owner is also silent towards this instance, or the link to it is broken: one
-  // renewal was missed. Longer than the scheduler's fresh_word.
+  // renewal was missed. Longer than the scheduler's max_renewal_age.
   common::duration silence_timeout_unlinked = std::chrono::milliseconds{800};
   // How long an owner goes on sending requests to workers, from when it sent its latest successful
   // commit to the store. Together with the leases (7.5 s) this covers a store outage of 7 s; a new
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -116,7 +116,7 @@
 {
   if (m_previous_requests.end() == common::time_point{})
     return {};
-  return m_previous_requests.end() + scheduling::scheduler_options{}.longest_lease();
+  return m_previous_requests.end() + scheduling::scheduler_options{}.max_lease();
 }
 
 void partition_owner::on_orders_query(const std::string& peer,
@@ -138,7 +138,7 @@
 void partition_owner::on_orders_reply(const std::string& peer, const common::orders_reply& reply)
 {
   if (m_previous_requests.on_reply(peer, reply) && m_scheduler)
-    m_scheduler->bring_earlier_end_forward(previous_leases_end());
+    m_scheduler->shorten_earlier_owners_leases(previous_leases_end());
 }
 
 void partition_owner::on_acquired(const owner_row& row, const adapter::transaction_result& result)
@@ -231,12 +231,12 @@
   // Later owners count this owner's authority from the takeover's row, so it starts when the
   // takeover was sent; reading the rows may have taken seconds since.
   m_scheduler->set_authority(m_takeover_sent + m_options.authority, m_takeover_sent);
-  m_scheduler->hold_orders();
-  m_scheduler->set_earlier_end(previous_leases_end());
+  m_scheduler->suspend_starts();
+  m_scheduler->set_earlier_owners_lease_end(previous_leases_end());
   update_wall_clock(now);
   queues_changed();
   if (!m_previous_requests.previous_end_reported())
-    m_scheduler->doubt_stated_ends();
+    m_scheduler->ignore_stated_ends();
   for (const auto& [id, claim] : loaded.claims)
     m_scheduler->restore_claim(id, claim, now);
   for (const auto& [id, info] : m_dependencies.worker_entries)
@@ -294,7 +294,7 @@
   // The store may already say that the job is active, and report that to others.
   if (*latest == jobs::job_state::queued && m_commits->has_in_flight(id))
     return std::nullopt;
-  if (jobs::is_final(*latest) && (m_commits->has_in_flight(id) || m_scheduler->unwritten(id)))
+  if (jobs::is_final(*latest) && (m_commits->has_in_flight(id) || m_scheduler->has_uncommitted_state(id)))
     return jobs::job_state::active;
   return latest;
 }
@@ -392,7 +392,7 @@
   begin_when_ready(now);
   if (m_state != state::owning)
     return;
-  m_sweeper->add_ended(m_scheduler->take_ended());
+  m_sweeper->add_ended(m_scheduler->take_ended_jobs());
   m_sweeper->tick();
   if (now - m_last_pass >= m_scheduler->pass_spacing())
     run_pass();
@@ -425,7 +425,7 @@
   m_last_pass = now;
   update_wall_clock(now);
   m_scheduler->set_advice_slots(m_dependencies.advice.slots(now));
-  m_scheduler->set_order_times(m_dependencies.workers.order_patience(),
+  m_scheduler->set_request_times(m_dependencies.workers.order_patience(),
                                m_dependencies.workers.round_trip());
   m_scheduler->set_loop_lateness(m_dependencies.loop.latest());
   m_scheduler->tick(now);
--- a/Source/Core/Node/PartitionOwnerCommits.cpp
+++ b/Source/Core/Node/PartitionOwnerCommits.cpp
@@ -96,7 +96,7 @@
     m_last_renewal = commit.sent;
     // The feed shows this row later, or not at all.
     m_watch.row_written(*commit.owner, commit.version);
-    m_scheduler->begin_orders();
+    m_scheduler->allow_starts();
   }
   // Other instances judge by the renewals alone. A commit without a renewal that was written late
   // proves nothing more to them, so it extends the authority by no more than a renewal period after
--- a/Source/Core/Scheduling/AdvicePlanner.cpp
+++ b/Source/Core/Scheduling/AdvicePlanner.cpp
@@ -24,7 +24,7 @@
 
 bool is_long(const jobs::queue_policy::advice_policy& policy)
 {
-  return policy.per_call >= k_long_advice;
+  return policy.per_call >= k_long_advice_threshold;
 }
 } // namespace
 
@@ -50,7 +50,7 @@
 
 bool advice_planner::valid_on_arrival(const step_permits::ticket& ticket, time_point now) const
 {
-  return ticket.until - m_state.order_round_trip > now;
+  return ticket.until - m_state.request_round_trip > now;
 }
 
 const std::string* advice_planner::ticket(const job_record& job, const step_record& step,
@@ -102,8 +102,8 @@
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const worker_record* left, const worker_record* right)
                    { return left->free().cpu_millis > right->free().cpu_millis; });
-  if (candidates.size() > m_state.options.advice_workers)
-    candidates.resize(m_state.options.advice_workers);
+  if (candidates.size() > m_state.options.max_advice_workers)
+    candidates.resize(m_state.options.max_advice_workers);
   std::vector<worker_id> ids;
   ids.reserve(candidates.size());
   for (const worker_record* worker : candidates)
@@ -163,16 +163,16 @@
   if (static_cast<std::size_t>(in_flight) >=
       (is_long_call ? m_call_slots.long_calls : m_call_slots.short_calls))
     return;
-  permits.latest_turn = now;
+  permits.last_advice_turn = now;
   // The begin mark is written while the request is in flight, to save time.
   if (record.begun.mark == begin_mark::none)
-    m_state.want_begun(job, record, m_zones.choose(job, cycle, step, now));
+    m_state.request_begin_mark(job, record, m_zones.choose(job, cycle, step, now));
   std::vector<worker_id> workers = candidate_workers(job, {job.id(), cycle, step}, reason, now);
   if (workers.empty())
   {
     // The step's zone has no suitable worker, or none with free capacity.
     if (reason != request_reason::ahead)
-      m_state.want_anywhere(job, record);
+      m_state.request_begin_mark_in_all_zones(job, record);
     return;
   }
   permits.asking = true;
--- a/Source/Core/Scheduling/BackgroundLosses.cpp
+++ b/Source/Core/Scheduling/BackgroundLosses.cpp
@@ -10,7 +10,7 @@
 {
 void background_losses::record_loss(const worker_record& worker, time_point now)
 {
-  if (worker.silent_after_start(m_state.options.crash_at_start, now))
+  if (worker.silent_after_start(m_state.options.crash_at_start_window, now))
     return;
   m_latest_losses[worker.info.id] = now;
   std::erase_if(m_latest_losses, [this, now](const auto& each)
@@ -22,7 +22,7 @@
 bool background_losses::recently_silent(const worker_record& worker, time_point now) const
 {
   if (!worker.unresponsive || now - worker.silent_since > m_state.options.background_silence ||
-      worker.silent_after_start(m_state.options.crash_at_start, now))
+      worker.silent_after_start(m_state.options.crash_at_start_window, now))
     return false;
   return std::none_of(worker.runs.begin(), worker.runs.end(),
                       [](const auto& each)
@@ -42,7 +42,7 @@
     if (id != worker && recently_silent(*each, now))
       others.insert(id);
   }
-  return others.size() >= m_state.options.background_least &&
-         others.size() * m_state.options.background_part >= m_state.workers.size();
+  return others.size() >= m_state.options.min_background_losses &&
+         others.size() * m_state.options.background_share_divisor >= m_state.workers.size();
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/Placer.cpp
+++ b/Source/Core/Scheduling/Placer.cpp
@@ -101,10 +101,10 @@
 {
   const auto found = blocked_by_queue.find(each.job->accepted().queue);
   const std::size_t blocked_before = found == blocked_by_queue.end() ? 0 : found->second;
-  if (blocked_before < m_state.options.blocked_steps_a_pass)
+  if (blocked_before < m_state.options.blocked_steps_per_pass)
     return true;
-  return blocked_before / m_state.options.backlog_window % m_state.options.backlog_turns ==
-         m_passes % m_state.options.backlog_turns;
+  return blocked_before / m_state.options.backlog_window % m_state.options.backlog_rotation_passes ==
+         m_passes % m_state.options.backlog_rotation_passes;
 }
 
 bool placer::place_or_reserve(const waiting_step& each, time_point now)
@@ -247,18 +247,18 @@
   task_record& task = job.task(place);
   if (m_crashes.postponed(task, now))
   {
-    task.trial_wanted.reset();
+    task.waiting_for_trial_since.reset();
     return;
   }
   const bool worker_kept = m_crashes.keeps_worker_for(task, now);
   // A decisive trial that waits needs a kept worker at all times, so another worker is picked if
   // none is kept; for other trials one attempt is enough.
-  if (task.trial_wanted && (worker_kept || !crash_watch::decisive(task)))
+  if (task.waiting_for_trial_since && (worker_kept || !crash_watch::decisive(task)))
     return;
   worker_record* const worker = best_worker(job, place, now, isolation::ignored);
   if (worker == nullptr)
     return;
-  task.trial_wanted = task.trial_wanted.value_or(now);
+  task.waiting_for_trial_since = task.waiting_for_trial_since.value_or(now);
   m_crashes.keep_for_trial(*worker, task, now);
 }
 
@@ -268,26 +268,26 @@
   job_record& job = *each.job;
   step_record& step = job.cycles()[each.cycle].steps[each.step];
   if (step.begun.mark == begin_mark::none)
-    m_state.want_begun(job, step, m_zones.choose(job, each.cycle, each.step, now));
+    m_state.request_begin_mark(job, step, m_zones.choose(job, each.cycle, each.step, now));
   return step.begun.written_for(worker.info.zone);
 }
 
 void placer::widen_small_zone(job_record& job, step_record& step)
 {
   if (!job.policy().advice || (!step.permits.asking && !step.permits.permitted.empty()))
-    m_state.want_anywhere(job, step);
+    m_state.request_begin_mark_in_all_zones(job, step);
 }
 
 void placer::request_overdue_advice(const std::vector<waiting_step>& steps, time_point now)
 {
   const waiting_step* longest = nullptr;
-  time_point earliest = now - m_state.options.advice_turn;
+  time_point earliest = now - m_state.options.max_advice_turn_wait;
   for (const waiting_step& each : steps)
   {
     const step_permits& permits = each.job->cycles()[each.cycle].steps[each.step].permits;
     if (!each.job->policy().advice || permits.asking)
       continue;
-    const time_point waits_since = std::max(permits.latest_turn, each.job->accepted_at());
+    const time_point waits_since = std::max(permits.last_advice_turn, each.job->accepted_at());
     if (waits_since > earliest)
       continue;
     longest = &each;
@@ -343,7 +343,7 @@
     const auto overdue_runs =
         std::count_if(worker->runs.begin(), worker->runs.end(),
                       [this, now](const auto& each) { return m_state.overdue(*each.second, now); });
-    if (static_cast<std::size_t>(overdue_runs) < m_state.options.overdue_to_avoid)
+    if (static_cast<std::size_t>(overdue_runs) < m_state.options.overdue_runs_to_avoid)
       continue;
     if (worker->slow_until <= now)
       common::log_process("worker_slow", {{"worker", id.value}, {"overdue_runs", overdue_runs}});
@@ -363,7 +363,7 @@
   const jobs::crash_history& crashes = run.job->task(run.place).crashes;
   if (suspected(crashes) || (worker.unresponsive && crashes.any()))
     return false;
-  if (worker.unresponsive && now - worker.silent_since >= m_state.options.copy_silent)
+  if (worker.unresponsive && now - worker.silent_since >= m_state.options.copy_after_silence)
     return true;
   return m_state.overdue(run, now);
 }
@@ -372,7 +372,7 @@
 {
   // Without a recent renewal of the ownership another owner may have taken over and may know that
   // the first run has ended.
-  if (!m_state.surely_owner(now))
+  if (!m_state.ownership_recently_confirmed(now))
     return;
   std::vector<run_record*> need_copy;
   for (const auto& [id, worker] : m_state.workers)
@@ -420,11 +420,11 @@
                                                : *known->second;
   const std::string* const ticket = m_advice.ticket(job, job.step(place), worker.info.id, now);
   m_crashes.mark_trial(run, now);
-  job.task(place).trial_wanted.reset();
+  job.task(place).waiting_for_trial_since.reset();
   worker.latest_start = now;
   run.last_sent = now;
   run.sends = 1;
-  run.start_expires = m_state.extended_lease(worker, now);
+  run.start_expires = m_state.extend_worker_lease(worker, now);
   run.ticket = ticket == nullptr ? std::string() : *ticket;
   run.ticket_over = m_advice.ticket_expiry(job, job.step(place), worker.info.id);
   m_state.starts.take();
@@ -436,6 +436,6 @@
   }
   m_state.commands.emplace_back(start_command{
       worker.info.id, worker.info.address, run.ref(), number, job.accepted().spec.payload,
-      m_state.start_lease(run, now), job.task(place).checkpoint, run.ticket, worker.token});
+      m_state.start_lease_end(run, now), job.task(place).checkpoint, run.ticket, worker.token});
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/PlacerGangs.cpp
+++ b/Source/Core/Scheduling/PlacerGangs.cpp
@@ -23,7 +23,7 @@
   std::stable_sort(
       order.begin(), order.end(),
       [&step](std::uint32_t left, std::uint32_t right)
-      { return counts_of(step.tasks[left].crashes) > counts_of(step.tasks[right].crashes); });
+      { return counted_losses(step.tasks[left].crashes) > counted_losses(step.tasks[right].crashes); });
   return order;
 }
 } // namespace
--- a/Source/Core/Scheduling/Reservations.cpp
+++ b/Source/Core/Scheduling/Reservations.cpp
@@ -74,7 +74,7 @@
 {
   const step_record& record = job.cycles()[cycle].steps[step];
   // Even a start now would miss the objective.
-  if (now + job.chain_from(step) > job.objective())
+  if (now + job.critical_path_from(step) > job.objective())
     return;
   const common::resources needed = required_resources(*record.spec);
   std::vector<std::pair<time_point, worker_id>> candidates;
@@ -85,7 +85,7 @@
         m_by_worker.contains(worker.info.id))
       return;
     const auto when = expected_free_from(worker, needed, now);
-    if (when && *when + job.chain_from(step) <= job.objective())
+    if (when && *when + job.critical_path_from(step) <= job.objective())
       candidates.emplace_back(*when, worker.info.id);
   };
   if (job.policy().advice)
--- a/Source/Core/Scheduling/WaitReport.cpp
+++ b/Source/Core/Scheduling/WaitReport.cpp
@@ -64,11 +64,11 @@
   return wait;
 }
 
-std::string mark_state(const begun_record& begun)
+std::string mark_state(const step_begin_marks& begun)
 {
   static constexpr auto k_mark_states = std::to_array<std::string_view>(
       {"not requested", "waits for a commit", "is being written", "is written for another zone"});
-  const begin_mark mark = begun.widened == begin_mark::none ? begun.mark : begun.widened;
+  const begin_mark mark = begun.all_zones_mark == begin_mark::none ? begun.mark : begun.all_zones_mark;
   return "the begin mark " + std::string(common::name_of(k_mark_states, mark));
 }
 
@@ -204,7 +204,7 @@
   if (entry.job->task(entry.place).phase != task_phase::unaccounted)
     return std::nullopt;
   task_wait wait = wait_for(wait_reason::unaccounted);
-  const std::vector<worker_id> holders = m_accounting.holders_of(*entry.job, entry.place);
+  const std::vector<worker_id> holders = m_accounting.unheard_workers_of(*entry.job, entry.place);
   const worker_record* longest = nullptr;
   for (const worker_id& id : holders)
   {
--- a/Source/Core/Scheduling/WorkerHolder.cpp
+++ b/Source/Core/Scheduling/WorkerHolder.cpp
@@ -35,7 +35,7 @@
   slot->first_seen = now;
   slot->token = m_state.newest_token;
   // Until the worker's lists show otherwise, runs of an earlier owner may still be there.
-  slot->lease_end = m_state.earlier_end;
+  slot->lease_end = m_state.earlier_owners_lease_end;
   return *slot;
 }
 
@@ -48,12 +48,12 @@
   worker.taken_over = now;
   worker.known = claim.born.has_value();
   worker.born = claim.born;
-  worker.claim_end_untrusted = claim.over && m_state.stated_ends_doubted;
+  worker.claim_end_untrusted = claim.over && m_state.stated_ends_ignored;
   if (worker.claim_end_untrusted)
     worker.claim->over.reset();
   else if (claim.over)
     worker.lease_end = std::min(worker.lease_end, *claim.over);
-  m_accounting.expect(id, claim);
+  m_accounting.expect_worker(id, claim);
   hold(worker, now);
 }
 
@@ -118,7 +118,7 @@
   worker->unlisted_since = now;
   if (worker->claimed && !worker->info.draining)
   {
-    worker->forget_at = now + m_state.options.unlisted_most;
+    worker->forget_at = now + m_state.options.unlisted_timeout;
     worker->hold_requested = true;
   }
   common::log_process("worker_entry_gone", {{"worker", id.value},
@@ -143,7 +143,7 @@
   const bool predecessor_claimed = worker.claimed;
   worker.begin_incarnation(++m_state.lives);
   worker.first_seen = now;
-  m_state.forget_tickets(worker.info.id);
+  m_state.drop_tickets(worker.info.id);
   m_state.place_again = true;
   if (!predecessor_claimed)
     return;
@@ -183,7 +183,7 @@
   worker->identified_at = now;
   worker->forget_at = time_point{};
   worker->lease_end = time_point{};
-  m_accounting.worker_told(id, now);
+  m_accounting.on_worker_reported(id, now);
 }
 
 // An answer shows which incarnation was there at some moment between the sending of its call and
@@ -222,7 +222,7 @@
   // Late calls to the earlier incarnation may extend this one's lease, by the longest lease that
   // any owner gives.
   worker.has_predecessor = true;
-  worker.lease_end = now + m_state.options.longest_lease_of_others();
+  worker.lease_end = now + m_state.options.max_lease_of_others();
   worker.hold_requested = true;
   if (worker.conflicting_entry && worker.conflicting_entry->born == answer.born)
   {
@@ -249,9 +249,9 @@
   request.acknowledged = acknowledges ? forgettable : 0;
   // The lease of a worker that does not answer is not extended: its runs must end at some time. Nor
   // is that of a worker for which the store states an end of its runs, until that is taken back.
-  if (m_state.orders_begun && worker.claimed && !worker.unresponsive && worker.clock_ahead &&
+  if (m_state.starts_allowed && worker.claimed && !worker.unresponsive && worker.clock_ahead &&
       !worker.end_stated())
-    request.lease_end = m_state.extended_lease(worker, now);
+    request.lease_end = m_state.extend_worker_lease(worker, now);
   // The worker forgets the ends that a hold acknowledges before it looks for updates, so that hold
   // can also wait for the next end. That takes one call per end instead of two.
   const bool settled = worker.claimed && !worker.unresponsive && worker.seen == forgettable;
@@ -268,7 +268,7 @@
 {
   if (worker.incarnation_uncertain)
     return false;
-  const time_point recent = now - std::max(m_state.options.fresh_lists, m_state.order_patience);
+  const time_point recent = now - std::max(m_state.options.max_list_age, m_state.order_patience);
   return worker.identified_at >= recent ||
          std::none_of(worker.runs.begin(), worker.runs.end(),
                       [recent](const auto& each)
@@ -278,9 +278,9 @@
 milliseconds worker_holder::hold_wait() const
 {
   const scheduler_options& options = m_state.options;
-  const duration by_workers = options.hold_wait_a_worker * m_state.workers.size();
+  const duration by_workers = options.hold_wait_per_worker * m_state.workers.size();
   return std::chrono::duration_cast<milliseconds>(
-      std::clamp(by_workers, options.hold_wait, options.hold_wait_most));
+      std::clamp(by_workers, options.hold_wait, options.max_hold_wait));
 }
 
 bool worker_holder::hold_due(worker_record& worker, time_point now) const
@@ -324,7 +324,7 @@
 {
   if (answer.end == call_end::fenced)
   {
-    m_state.note_fenced(answer.worker, answer.token);
+    m_state.record_fenced_reply(answer.worker, answer.token);
     if (m_state.fenced)
       return;
   }
@@ -333,7 +333,7 @@
     return;
   if (!answer.late && worker->holds_in_flight > 0)
     --worker->holds_in_flight;
-  if (answer.end == call_end::other_life)
+  if (answer.end == call_end::other_incarnation)
   {
     on_other_worker(answer.worker, answer.sent, now);
     return;
@@ -349,18 +349,18 @@
                         {{"worker", worker->info.id.value},
                          {"end", to_text(answer.end)},
                          {"runs", worker->runs.size()},
-                         {"waited_for", m_accounting.waits_for(answer.worker)},
+                         {"waited_for", m_accounting.awaits_report_of(answer.worker)},
                          {"lease_left_ms", worker->lease_end - now}});
   if (failed && !worker->unresponsive)
-    m_accounting.tell_listed(*worker, now);
+    m_accounting.log_held_tasks(*worker, now);
   worker->set_unresponsive(failed, now);
   worker->incarnation_uncertain |= failed;
   if (failed)
-    m_state.outdate_token(*worker);
+    m_state.supersede_token(*worker);
   update_unlisted(*worker, !failed && answer.sent >= worker->unlisted_since);
   if (failed)
     return;
-  m_state.note_heard(*worker);
+  m_state.clear_zone_silence(*worker);
   worker->heard_at = now;
   if (answer.clock)
     worker->clock_ahead =
@@ -373,8 +373,8 @@
     worker->claimed = true;
     // From now on the worker rejects holds of earlier owners, so these can extend no lease.
     if (!worker->end_stated())
-      worker->lease_end = now + (worker->has_predecessor ? m_state.options.longest_lease_of_others()
-                                                         : m_state.options.longest_lease());
+      worker->lease_end = now + (worker->has_predecessor ? m_state.options.max_lease_of_others()
+                                                         : m_state.options.max_lease());
     m_state.place_again = true;
   }
   if (answer.clock && *answer.clock < worker->listed_at)
@@ -383,7 +383,7 @@
   // The answer shows which acknowledgement the worker has received: it lists no ends up to it.
   worker->acknowledged = std::max(worker->acknowledged, answer.acknowledged);
   m_run_tracker.on_lists(*worker, answer, now);
-  m_accounting.worker_told(worker->info.id, now);
+  m_accounting.on_worker_reported(worker->info.id, now);
 }
 
 // A worker without an entry counts as present as long as it answers.
@@ -402,7 +402,7 @@
 void worker_holder::tick(time_point now)
 {
   if (m_accounting.under_way())
-    m_accounting.give_up_unheard(now);
+    m_accounting.expire_unheard_workers(now);
   m_unheard = 0;
   for (auto each = m_state.workers.begin(); each != m_state.workers.end();)
   {
--- a/Source/Core/Scheduling/WorkerRecord.h
+++ b/Source/Core/Scheduling/WorkerRecord.h
@@ -86,7 +86,7 @@
 {
   std::uint64_t number = 0; // no other incarnation of any worker has it
   bool known = false;       // it has answered this owner, or an earlier one as its claim shows
-  std::optional<born_time> born;
+  std::optional<incarnation_start> born;
   // It has replaced an incarnation that this owner knew. Until it is claimed, start and stop
   // requests to that one may still reach it.
   bool has_predecessor = false;
--- a/Source/UnitTests/Node/OwnerWatchTest.cpp
+++ b/Source/UnitTests/Node/OwnerWatchTest.cpp
@@ -149,8 +149,8 @@
   see("instance-2", "life-2", 5);
   BOOST_TEST((watch.requests_end() >=
               watch.observed().changed_at + options.renew_period + options.authority));
-  // The scheduler's fresh_word must be over before any instance takes over.
-  BOOST_TEST((scheduling::scheduler_options{}.fresh_word < options.silence_timeout_unlinked));
+  // The scheduler's max_renewal_age must be over before any instance takes over.
+  BOOST_TEST((scheduling::scheduler_options{}.max_renewal_age < options.silence_timeout_unlinked));
 }
 
 BOOST_FIXTURE_TEST_CASE(older_and_damaged_rows_are_ignored, watched_owner)
--- a/Source/UnitTests/Scheduling/CrashWatchTest.cpp
+++ b/Source/UnitTests/Scheduling/CrashWatchTest.cpp
@@ -41,7 +41,7 @@
   void end_incarnation(const worker_id& id)
   {
     scheduler->worker_entry_gone(id, now);
-    fail_hold(id.value, call_end::other_life);
+    fail_hold(id.value, call_end::other_incarnation);
   }
 
   // Ends the incarnations of `count` workers other than this one.
@@ -174,7 +174,7 @@
   BOOST_TEST(history_of(jobs::job_progress_from(batch.rows.at(k_job))).crashes.blamed.size() == 1U);
   const jobs::crash_history other =
       history_of(jobs::job_progress_from(batch.rows.at(k_other_job))).crashes;
-  BOOST_TEST(counts_of(other) == 0U);
+  BOOST_TEST(counted_losses(other) == 0U);
   BOOST_TEST(other.lost); // so that the task's next run is announced
 }
 
@@ -205,7 +205,7 @@
   clear();
   start_job(k_other_job, step_of(1));
   BOOST_TEST(starts.empty());
-  pass(options.crash_trial * 4);
+  pass(options.crash_trial_time * 4);
   try_again();
   BOOST_TEST(starts.size() == 1U);
 }
@@ -236,7 +236,7 @@
   try_again();
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   answer_start(starts.front(), call_end::done);
-  pass(options.crash_survived);
+  pass(options.crash_survival_time);
   answer_hold(starts.front().worker.value, {running(starts.front())});
   BOOST_TEST(!history_of(written_progress(*this)).crashes.any());
 }
@@ -257,7 +257,7 @@
     lose_others(latest.worker, 2);
     end_incarnation(latest.worker);
     add_workers(3);
-    wait_and_try_again(options.background_window + options.steady_life);
+    wait_and_try_again(options.background_window + options.steady_incarnation_age);
   }
   BOOST_TEST((state() == jobs::job_state::active));
   BOOST_TEST(metrics.value(yardhill::common::counter::tasks_given_up) == 0U);
@@ -281,7 +281,7 @@
   crash_worker_of(starts.front());
   BOOST_TEST((state() == jobs::job_state::active));
   lose_others(starts.front().worker, 3);
-  pass(options.conviction_wait);
+  pass(options.conviction_delay);
   step();
   BOOST_TEST((state() == jobs::job_state::active));
 }
@@ -300,7 +300,7 @@
     lose_others(latest.worker, 2);
     end_incarnation(latest.worker);
     add_workers(3);
-    wait_and_try_again(options.background_window + options.steady_life);
+    wait_and_try_again(options.background_window + options.steady_incarnation_age);
     losses += starts.empty() ? 0 : 1;
   }
   BOOST_TEST(losses == 6);
@@ -320,10 +320,10 @@
   clear();
   crash_worker_of(second);
   lose_others(second.worker, 3);
-  wait_and_try_again(options.crash_trial_patience);
+  wait_and_try_again(options.crash_trial_timeout);
   BOOST_TEST(starts.empty());
   wait_and_try_again(options.background_window);
-  wait_and_try_again(options.crash_trial_patience);
+  wait_and_try_again(options.crash_trial_timeout);
   BOOST_TEST(starts.size() == 1U);
 }
 
@@ -364,7 +364,7 @@
   scheduler->restore_job(job(k_job, {step_of(1)}), progress, now);
   begin();
   add_worker(worker("w1"));
-  pass(options.conviction_wait);
+  pass(options.conviction_delay);
   step();
   BOOST_TEST((scheduler->state_of(k_job) == jobs::job_state::failed));
   BOOST_TEST(starts.empty());
@@ -375,7 +375,7 @@
   restore_claim("w9", {{"10.0.0.9", 80}, "", false, {}});
   scheduler->restore_job(job(k_job, {step_of(1)}), announced_on_w9(), now);
   begin();
-  fail_hold("w9", call_end::other_life);
+  fail_hold("w9", call_end::other_incarnation);
   step();
   BOOST_TEST(history_of(written_progress(*this)).crashes.blamed.size() == 3U);
 }
@@ -412,7 +412,7 @@
   restore_claim("w9", {{"10.0.0.9", 80}, "", false, {}});
   scheduler->restore_job(job(k_job, {step_of(1)}), announced_on_w9(), now);
   begin();
-  fail_hold("w9", call_end::other_life);
+  fail_hold("w9", call_end::other_incarnation);
   step();
   const commit_batch batch = scheduler->take_commit(1000, now);
   BOOST_TEST_REQUIRE(batch.releases.contains(worker_id("w9")));
@@ -433,7 +433,7 @@
   restore_claim("w9", {{"10.0.0.9", 80}, "", false, {}});
   restore_begun(k_job);
   begin();
-  fail_hold("w9", call_end::other_life);
+  fail_hold("w9", call_end::other_incarnation);
   step();
   const commit_batch batch = scheduler->take_commit(1000, now);
   BOOST_TEST_REQUIRE(batch.rows.contains(k_job));
--- a/Source/UnitTests/Scheduling/FirstOrdersTest.cpp
+++ b/Source/UnitTests/Scheduling/FirstOrdersTest.cpp
@@ -20,7 +20,7 @@
 {
   new_owner()
   {
-    scheduler->hold_orders();
+    scheduler->suspend_starts();
     add_worker(worker("w1"));
     scheduler->add_job(job(k_job, {step_of(1)}), now);
     step();
@@ -47,7 +47,7 @@
 
 BOOST_FIXTURE_TEST_CASE(starts_begin_with_the_first_renewal, new_owner)
 {
-  scheduler->begin_orders();
+  scheduler->allow_starts();
   step();
   commit(); // writes the begin mark
   step();
--- a/Source/UnitTests/Scheduling/WorkerLivesTest.cpp
+++ b/Source/UnitTests/Scheduling/WorkerLivesTest.cpp
@@ -15,12 +15,12 @@
 
 namespace
 {
-const born_time k_first_start_time{milliseconds{1'000'000}};
+const incarnation_start k_first_start_time{milliseconds{1'000'000}};
 // Earlier than k_first_start_time, since a worker's clock may have jumped back: the start times do
 // not show which incarnation is the later one.
-const born_time k_second_start_time{milliseconds{900'000}};
+const incarnation_start k_second_start_time{milliseconds{900'000}};
 
-worker_info born_at(born_time born)
+worker_info born_at(incarnation_start born)
 {
   worker_info info = scheduler_harness::worker("w1");
   info.born = born;
@@ -94,7 +94,7 @@
 BOOST_FIXTURE_TEST_CASE(end_numbers_begin_anew, incarnations_harness)
 {
   const start_command before = start_listed_run();
-  answer_hold("w1", {}, {ended(5, before, run_end::failed)});
+  answer_hold("w1", {}, {ended(5, before, run_outcome::failed)});
   commit_and_step();
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   clear();
@@ -108,7 +108,7 @@
                          [](const hold_command& each) { return each.acknowledged == 0; }));
   const start_command again = starts.back();
   answer_start(again, call_end::done);
-  answer_hold("w1", {}, {ended(1, again, run_end::done)});
+  answer_hold("w1", {}, {ended(1, again, run_outcome::done)});
   commit_and_step();
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
 }
