--- a/Source/Benchmarks/PassBenchmark.cpp
+++ b/Source/Benchmarks/PassBenchmark.cpp
@@ -156,7 +156,7 @@
     const start_command ended = m_started.back();
     m_started.pop_back();
     hold_answer answer{ended.worker, call_end::done, {}, 0, {}, {}, m_now};
-    answer.ended.push_back({++m_end, ended.task, ended.run, run_end::done, {}});
+    answer.ended.push_back({++m_end, ended.task, ended.run, run_outcome::done, {}});
     m_scheduler.hold_answered(answer, m_now);
   }
 
--- a/Source/Core/Model/RunJudge.cpp
+++ b/Source/Core/Model/RunJudge.cpp
@@ -283,9 +283,10 @@
   m_leaving.emplace(worker, at);
 }
 
-void run_judge::ended(const task_ref& task, run_number run, const std::string& worker, run_end how)
+void run_judge::ended(const task_ref& task, run_number run, const std::string& worker,
+                      run_outcome how)
 {
-  m_lapsed += how == run_end::lapsed ? 1 : 0;
+  m_lapsed += how == run_outcome::lapsed ? 1 : 0;
   common::log_request("judge_ended", task.job,
                       {{"step", task.place.step},
                        {"task", task.place.index},
@@ -296,9 +297,9 @@
   const auto found = seen.active.find(run);
   if (found != seen.active.end() && found->second.worker == worker)
     seen.active.erase(found);
-  if (how == run_end::done)
+  if (how == run_outcome::done)
     seen.done.insert(run);
-  if (how == run_end::failed)
+  if (how == run_outcome::failed)
     seen.failures.insert(run);
 }
 
@@ -307,15 +308,15 @@
   m_tasks[task].checkpoints.insert(checkpoint);
 }
 
-void run_judge::acknowledged(const task_ref& task, run_number run, run_end how,
+void run_judge::acknowledged(const task_ref& task, run_number run, run_outcome how,
                              common::time_point at)
 {
   common::log_request("judge_acknowledged", task.job,
                       {{"step", task.place.step}, {"task", task.place.index}, {"run", run}});
   seen_task& seen = m_tasks[task];
-  if (how == run_end::done)
+  if (how == run_outcome::done)
     seen.done_acknowledged = std::min(at, seen.done_acknowledged.value_or(at));
-  if (how == run_end::failed)
+  if (how == run_outcome::failed)
     seen.failures_acknowledged.insert(run);
 }
 
--- a/Source/Core/Model/RunJudge.h
+++ b/Source/Core/Model/RunJudge.h
@@ -18,8 +18,8 @@
 
 namespace yardhill::model
 {
-using scheduling::run_end;
 using scheduling::run_number;
+using scheduling::run_outcome;
 using scheduling::task_ref;
 
 // A run as a worker begins it.
@@ -67,10 +67,10 @@
 
   // What workers do. `gone`: the worker has died with all its runs.
   void started(const observed_start& start);
-  void ended(const task_ref& task, run_number run, const std::string& worker, run_end how);
+  void ended(const task_ref& task, run_number run, const std::string& worker, run_outcome how);
   // A run's work is saved; its checkpoint is listed from now on, whatever becomes of the worker.
   void saved(const task_ref& task, const std::string& checkpoint);
-  void acknowledged(const task_ref& task, run_number run, run_end how, common::time_point at);
+  void acknowledged(const task_ref& task, run_number run, run_outcome how, common::time_point at);
   // All instances reach the store and the workers throughout.
   void expect_contact() { m_in_touch = true; }
   void worker_gone(const std::string& worker);
--- a/Source/Core/Model/WorkerModel.cpp
+++ b/Source/Core/Model/WorkerModel.cpp
@@ -133,7 +133,7 @@
 void worker_model::lapse()
 {
   while (!m_runs.empty())
-    finish(m_runs.begin()->first, run_end::lapsed);
+    finish(m_runs.begin()->first, run_outcome::lapsed);
 }
 
 http::reply worker_model::start(const json& body, bool late_at_new_life)
@@ -168,7 +168,7 @@
   run.number = number;
   run.end_event =
       m_time.schedule(course.takes, [this, task, course]
-                      { finish(task, course.fails ? run_end::failed : run_end::done); });
+                      { finish(task, course.fails ? run_outcome::failed : run_outcome::done); });
   if (course.crashes_after)
     run.crash_event = m_time.schedule(*course.crashes_after, [this] { crash(); });
   check_room(task);
@@ -204,7 +204,7 @@
       broken.push_back(task);
   }
   for (const task_ref& each : broken)
-    finish(each, run_end::broken);
+    finish(each, run_outcome::broken);
 }
 
 void worker_model::set_capacity(const common::resources& capacity)
@@ -253,12 +253,12 @@
     m_judge.saved(task, running->second.checkpoint);
     m_time.cancel(running->second.end_event);
     running->second.end_event =
-        m_time.schedule(m_settings.stop_time, [this, task] { finish(task, run_end::stopped); });
+        m_time.schedule(m_settings.stop_time, [this, task] { finish(task, run_outcome::stopped); });
   }
   return {200, json{{wire::k_clock_ms, clock_ms()}}.dump(), {}, false};
 }
 
-void worker_model::finish(const task_ref& task, run_end how)
+void worker_model::finish(const task_ref& task, run_outcome how)
 {
   auto ended = m_runs.extract(task);
   if (ended.empty())
--- a/Source/Core/Model/WorkerModel.h
+++ b/Source/Core/Model/WorkerModel.h
@@ -96,7 +96,7 @@
   http::reply lists() const;
   void extend_lease(std::int64_t until);
   void lapse();
-  void finish(const task_ref& task, run_end how);
+  void finish(const task_ref& task, run_outcome how);
   void check_room(const task_ref& task);
   void crash();
   std::int64_t clock_ms() const;
--- a/Source/Core/Node/AdvicePool.cpp
+++ b/Source/Core/Node/AdvicePool.cpp
@@ -55,7 +55,7 @@
 advice_pool::helper& advice_pool::choose(std::chrono::milliseconds expected)
 {
   const common::time_point now = m_time.now();
-  const std::size_t first = expected >= scheduling::k_long_advice ? kept_free() : 0;
+  const std::size_t first = expected >= scheduling::k_long_advice_threshold ? kept_free() : 0;
   helper* best = nullptr;
   for (std::size_t i = first; i < m_helpers.size(); ++i)
   {
--- a/Source/Core/Node/OwnerRow.cpp
+++ b/Source/Core/Node/OwnerRow.cpp
@@ -154,7 +154,7 @@
         claim.zone = in.value("zone", std::string());
         claim.closed = in.contains("tasks");
         if (in.contains(k_born_ms))
-          claim.born = scheduling::born_time(
+          claim.born = scheduling::incarnation_start(
               std::chrono::milliseconds(in.at(k_born_ms).get<std::int64_t>()));
         if (in.contains(k_over_ms))
           claim.over = clock.latest_time_at(
--- a/Source/Core/Node/OwnershipOptions.h
+++ b/Source/Core/Node/OwnershipOptions.h
@@ -21,7 +21,7 @@
   // An owner that has not renewed its row for this long is replaced: the store may be slow.
   common::duration silence = std::chrono::milliseconds{3000};
   // The same once it is silent, or the link to it broken, as well: one renewal missed. Longer than
-  // the scheduler's fresh_word.
+  // the scheduler's max_renewal_age.
   common::duration silence_unlinked = std::chrono::milliseconds{800};
   // How long an owner goes on giving orders after it asked the store for its latest success. With
   // the leases (7.5 s) it covers an outage of 7 s; a new owner waits for both together where it
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -113,7 +113,7 @@
 {
   if (m_earlier.end() == common::time_point{})
     return {};
-  return m_earlier.end() + scheduling::scheduler_options{}.longest_lease();
+  return m_earlier.end() + scheduling::scheduler_options{}.max_lease();
 }
 
 void partition_owner::on_orders_question(const std::string& peer,
@@ -133,7 +133,7 @@
 void partition_owner::on_orders_reply(const std::string& peer, const common::orders_reply& reply)
 {
   if (m_earlier.on_reply(peer, reply) && m_scheduler)
-    m_scheduler->bring_earlier_end_forward(earlier_leases_end());
+    m_scheduler->shorten_earlier_owners_leases(earlier_leases_end());
 }
 
 void partition_owner::on_acquired(const owner_row& row, const adapter::transaction_result& result)
@@ -221,12 +221,12 @@
   m_scheduler->token_given(m_token);
   // Later owners count from the takeover's row; reading may have taken seconds since.
   m_scheduler->set_authority(m_takeover_sent + m_options.authority, m_takeover_sent);
-  m_scheduler->hold_orders();
-  m_scheduler->set_earlier_end(earlier_leases_end());
+  m_scheduler->suspend_starts();
+  m_scheduler->set_earlier_owners_lease_end(earlier_leases_end());
   tell_time(now);
   queues_changed();
   if (!m_earlier.told())
-    m_scheduler->doubt_stated_ends();
+    m_scheduler->ignore_stated_ends();
   for (const auto& [id, claim] : loaded.claims)
     m_scheduler->restore_claim(id, claim, now);
   for (const auto& [id, info] : m_parts.worker_entries)
@@ -284,7 +284,7 @@
   // The store may say already that the job is active, and tells it to others.
   if (*latest == jobs::job_state::queued && m_commits->carries(id))
     return std::nullopt;
-  if (jobs::is_final(*latest) && (m_commits->carries(id) || m_scheduler->unwritten(id)))
+  if (jobs::is_final(*latest) && (m_commits->carries(id) || m_scheduler->has_uncommitted_state(id)))
     return jobs::job_state::active;
   return latest;
 }
@@ -382,7 +382,7 @@
   begin_when_known(now);
   if (m_state != state::owning)
     return;
-  m_sweeper->ended(m_scheduler->take_ended());
+  m_sweeper->ended(m_scheduler->take_ended_jobs());
   m_sweeper->tick();
   if (now - m_last_step >= m_scheduler->pass_spacing())
     step();
@@ -415,7 +415,7 @@
   m_last_step = now;
   tell_time(now);
   m_scheduler->set_advice_slots(m_parts.advice.slots(now));
-  m_scheduler->set_order_times(m_parts.workers.order_patience(), m_parts.workers.round_trip());
+  m_scheduler->set_request_times(m_parts.workers.order_patience(), m_parts.workers.round_trip());
   m_scheduler->set_loop_lateness(m_parts.loop.latest());
   m_scheduler->tick(now);
   for (const scheduling::command& each : m_scheduler->take_commands())
--- a/Source/Core/Node/PartitionOwnerCommits.cpp
+++ b/Source/Core/Node/PartitionOwnerCommits.cpp
@@ -91,7 +91,7 @@
     m_last_renewal = commit.sent;
     // The feed shows it later, or not at all.
     m_watch.written(*commit.owner, commit.version);
-    m_scheduler->begin_orders();
+    m_scheduler->allow_starts();
   }
   // Other instances go by the renewals alone. A commit that was written late proves no more to
   // them.
--- a/Source/Core/Scheduling/AdvicePlanner.cpp
+++ b/Source/Core/Scheduling/AdvicePlanner.cpp
@@ -21,7 +21,7 @@
 
 bool is_long(const jobs::queue_policy::advice_policy& policy)
 {
-  return policy.per_call >= k_long_advice;
+  return policy.per_call >= k_long_advice_threshold;
 }
 } // namespace
 
@@ -47,7 +47,7 @@
 
 bool advice_planner::in_time(const step_permits::ticket& ticket, time_point now) const
 {
-  return ticket.until - m_state.order_round_trip > now;
+  return ticket.until - m_state.request_round_trip > now;
 }
 
 const std::string* advice_planner::ticket(const job_record& job, const step_record& step,
@@ -95,8 +95,8 @@
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const worker_record* left, const worker_record* right)
                    { return left->free().cpu_millis > right->free().cpu_millis; });
-  if (candidates.size() > m_state.options.advice_workers)
-    candidates.resize(m_state.options.advice_workers);
+  if (candidates.size() > m_state.options.max_advice_workers)
+    candidates.resize(m_state.options.max_advice_workers);
   std::vector<worker_id> ids;
   ids.reserve(candidates.size());
   for (const worker_record* worker : candidates)
@@ -154,16 +154,16 @@
                     [long_call](const auto& each) { return each.second.is_long == long_call; });
   if (static_cast<std::size_t>(taken) >= (long_call ? m_slots.long_calls : m_slots.short_calls))
     return;
-  permits.latest_turn = now;
+  permits.last_advice_turn = now;
   // Written while the advice is on its way.
   if (in.begun.mark == begin_mark::none)
-    m_state.want_begun(job, in, m_zones.choose(job, cycle, step, now));
+    m_state.request_begin_mark(job, in, m_zones.choose(job, cycle, step, now));
   std::vector<worker_id> workers = worth_asking(job, {job.id(), cycle, step}, why, now);
   if (workers.empty())
   {
     // Its zone has no worker for it, or none with room.
     if (why != occasion::ahead)
-      m_state.want_anywhere(job, in);
+      m_state.request_begin_mark_in_all_zones(job, in);
     return;
   }
   permits.asking = true;
--- a/Source/Core/Scheduling/BackgroundLosses.cpp
+++ b/Source/Core/Scheduling/BackgroundLosses.cpp
@@ -10,7 +10,7 @@
 {
 void background_losses::note(const worker_record& worker, time_point now)
 {
-  if (worker.silent_after_start(m_state.options.crash_at_start, now))
+  if (worker.silent_after_start(m_state.options.crash_at_start_window, now))
     return;
   m_lost[worker.info.id] = now;
   std::erase_if(m_lost, [this, now](const auto& each)
@@ -21,7 +21,7 @@
 bool background_losses::lately_silent(const worker_record& worker, time_point now) const
 {
   if (!worker.suspect || now - worker.silent_since > m_state.options.background_silence ||
-      worker.silent_after_start(m_state.options.crash_at_start, now))
+      worker.silent_after_start(m_state.options.crash_at_start_window, now))
     return false;
   return std::none_of(worker.runs.begin(), worker.runs.end(),
                       [](const auto& each)
@@ -41,7 +41,7 @@
     if (id != worker && lately_silent(*each, now))
       others.insert(id);
   }
-  return others.size() >= m_state.options.background_least &&
-         others.size() * m_state.options.background_part >= m_state.workers.size();
+  return others.size() >= m_state.options.min_background_losses &&
+         others.size() * m_state.options.background_share_divisor >= m_state.workers.size();
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/CopyWatch.cpp
+++ b/Source/Core/Scheduling/CopyWatch.cpp
@@ -17,7 +17,7 @@
   const std::vector<run_record*>& runs = step.tasks[place.index].runs;
   return std::any_of(runs.begin(), runs.end(),
                      [](const run_record* run) { return run->may_begin(); }) ||
-         m_accounting.may_hold(job, place);
+         m_accounting.earlier_start_possible(job, place);
 }
 
 bool copy_watch::any_may_begin(const job_record& job) const
@@ -40,7 +40,8 @@
 void copy_watch::note_end(worker_record& worker, const listed_end& end, time_point now)
 {
   const job_record* const job = m_state.find_job(end.task.job);
-  const bool last = end.how == run_end::done || (end.how == run_end::failed && job->ended());
+  const bool last =
+      end.how == run_outcome::done || (end.how == run_outcome::failed && job->ended());
   if (!last || !may_begin(*job, end.task.place))
     return;
   worker.kept_ends.emplace(end.number, kept_end{end.task, now});
--- a/Source/Core/Scheduling/CrashWatch.cpp
+++ b/Source/Core/Scheduling/CrashWatch.cpp
@@ -33,7 +33,7 @@
 bool isolated(const task_record& task)
 {
   const jobs::crash_history& crashes = task.crashes;
-  return counts_of(crashes) + crashes.by_chance >= k_counts_to_isolate ||
+  return counted_losses(crashes) + crashes.by_chance >= k_counts_to_isolate ||
          crash_watch::decisive(task);
 }
 
@@ -75,7 +75,7 @@
 
 bool crash_watch::out_of_tries(const jobs::crash_history& crashes)
 {
-  const std::size_t counts = counts_of(crashes);
+  const std::size_t counts = counted_losses(crashes);
   if (crashes.blamed.empty())
     return counts + crashes.unanswered >= k_tries;
   return counts >= k_counts_to_give_up || lost_starts(crashes) >= k_tries;
@@ -86,19 +86,19 @@
   return lost_starts(task.crashes) >= k_losses_to_be_decisive;
 }
 
-std::size_t counts_of(const jobs::crash_history& crashes)
+std::size_t counted_losses(const jobs::crash_history& crashes)
 {
   return crashes.blamed.size() + crashes.unclear.size();
 }
 
 std::size_t lost_starts(const jobs::crash_history& crashes)
 {
-  return counts_of(crashes) + crashes.unanswered + crashes.by_chance + crashes.unjudged;
+  return counted_losses(crashes) + crashes.unanswered + crashes.by_chance + crashes.unjudged;
 }
 
 bool suspected(const jobs::crash_history& crashes)
 {
-  return counts_of(crashes) > 0 || crashes.by_chance >= k_chances_to_isolate ||
+  return counted_losses(crashes) > 0 || crashes.by_chance >= k_chances_to_isolate ||
          lost_starts(crashes) >= k_losses_to_be_decisive;
 }
 
@@ -118,9 +118,9 @@
 
 duration crash_watch::trial_time(const task_record& task) const
 {
-  const std::size_t losses = counts_of(task.crashes) + task.crashes.by_chance;
+  const std::size_t losses = counted_losses(task.crashes) + task.crashes.by_chance;
   const std::size_t doublings = std::min(losses, k_most_trial_doublings);
-  return m_state.options.crash_trial * (1U << doublings);
+  return m_state.options.crash_trial_time * (1U << doublings);
 }
 
 std::vector<crash_watch::lost_run> crash_watch::runs_of(const worker_record& worker) const
@@ -148,10 +148,11 @@
   for (lost_run& each : runs)
   {
     const run_record& run = *worker.runs.at({each.job, each.place});
-    const bool survived = run.spec().long_running && lived(run) >= m_state.options.crash_survived;
+    const bool survived =
+        run.spec().long_running && lived(run) >= m_state.options.crash_survival_time;
     if (!run.start_answered)
       each.how = verdict::unanswered;
-    else if (!survived && lived(run) <= youngest + m_state.options.crash_cluster)
+    else if (!survived && lived(run) <= youngest + m_state.options.crash_blame_margin)
       each.how = verdict::blamed_with_others;
     blamed += each.how == verdict::blamed_with_others ? 1 : 0;
     unanswered += each.how == verdict::unanswered ? 1 : 0;
@@ -185,14 +186,14 @@
     m_state.metrics.add(common::counter::workers_crashed);
     blame(worker, runs, now);
   }
-  m_state.lose_runs(worker, which, why);
+  m_state.remove_lost_runs(worker, which, why);
   take_in(worker.info.id, runs, !planned, now);
 }
 
 void crash_watch::leases_over(worker_record& worker, const char* why, time_point now)
 {
   const std::vector<lost_run> runs = runs_of(worker);
-  m_state.lose_runs(worker, scheduler_state::lost_runs::all, why);
+  m_state.remove_lost_runs(worker, scheduler_state::lost_runs::all, why);
   take_in(worker.info.id, runs, true, now);
 }
 
@@ -276,13 +277,13 @@
   job_record& job = *m_state.find_job(loss.task.job);
   task_record& task = job.task(loss.task.place);
   if (to_be_given_up(task.crashes))
-    task.accused_by = loss.run;
+    task.pending_give_up_run = loss.run;
   m_latest.push_back(loss);
 }
 
 void crash_watch::tick(time_point now)
 {
-  while (!m_latest.empty() && now - m_latest.front().at >= m_state.options.conviction_wait)
+  while (!m_latest.empty() && now - m_latest.front().at >= m_state.options.conviction_delay)
   {
     const counted_loss loss = m_latest.front();
     m_latest.pop_front();
@@ -298,9 +299,9 @@
   if (m_background.explain_loss_of(loss.worker, now))
     take_for_chance(job, loss);
   m_state.place_again = true;
-  if (task.accused_by != loss.run)
+  if (task.pending_give_up_run != loss.run)
     return;
-  task.accused_by.reset();
+  task.pending_give_up_run.reset();
   if (to_be_given_up(task.crashes))
     give_up(job, loss.task.place, now);
 }
@@ -309,12 +310,12 @@
 void crash_watch::take_for_chance(job_record& job, const counted_loss& loss)
 {
   jobs::crash_history& crashes = job.task(loss.task.place).crashes;
-  const std::size_t counted = counts_of(crashes) + crashes.unanswered;
+  const std::size_t counted = counted_losses(crashes) + crashes.unanswered;
   std::erase(crashes.blamed, loss.run);
   std::erase(crashes.unclear, loss.run);
   if (loss.how == verdict::unanswered && crashes.unanswered > 0)
     --crashes.unanswered;
-  if (counts_of(crashes) + crashes.unanswered == counted)
+  if (counted_losses(crashes) + crashes.unanswered == counted)
     return; // the task has been cleared meanwhile
   crashes.alone -= loss.alone && crashes.alone > 0 ? 1 : 0;
   ++crashes.by_chance;
@@ -349,7 +350,7 @@
 {
   task_record& task = run.job->task(run.place);
   if (!run.spec().long_running || !(task.lost || task.crashes.any()) ||
-      now - run.begun < m_state.options.crash_survived)
+      now - run.begun < m_state.options.crash_survival_time)
     return;
   task.lost = false;
   if (!task.crashes.any())
@@ -415,23 +416,23 @@
 
 bool crash_watch::postponed(const task_record& task, time_point now) const
 {
-  return task.accused_by || (isolated(task) && m_background.high(now));
+  return task.pending_give_up_run || (isolated(task) && m_background.high(now));
 }
 
 bool crash_watch::steady(const worker_record& worker, time_point now) const
 {
-  return worker.first_seen + m_state.options.steady_life <= now;
+  return worker.first_seen + m_state.options.steady_incarnation_age <= now;
 }
 
 bool crash_watch::heard_lately(const worker_record& worker, time_point now) const
 {
-  return now - worker.heard_at <= std::max(m_state.options.fresh_lists, m_state.order_patience);
+  return now - worker.heard_at <= std::max(m_state.options.max_list_age, m_state.order_patience);
 }
 
 duration crash_watch::patience(const task_record& task) const
 {
   const scheduler_options& options = m_state.options;
-  return options.crash_trial_patience + (decisive(task) ? options.crash_trial : duration{0});
+  return options.crash_trial_timeout + (decisive(task) ? options.crash_trial_time : duration{0});
 }
 
 bool crash_watch::fit(const worker_record& worker, const task_record& task, time_point now) const
@@ -442,13 +443,13 @@
   if (!suspected(task.crashes))
     return true;
   // Where there has been no better worker for long, any will do.
-  if (task.trial_wanted && now - *task.trial_wanted >= patience(task))
+  if (task.waiting_for_trial_since && now - *task.waiting_for_trial_since >= patience(task))
     return true;
   if (worker.trial_until > now)
     return false;
   if (!isolated(task))
     return true;
-  const bool quiet = worker.latest_start + m_state.options.crash_trial <= now;
+  const bool quiet = worker.latest_start + m_state.options.crash_trial_time <= now;
   if (decisive(task))
     return quiet && steady(worker, now) && heard_lately(worker, now);
   return quiet && (task.crashes.by_chance == 0 || steady(worker, now));
--- a/Source/Core/Scheduling/Evacuator.cpp
+++ b/Source/Core/Scheduling/Evacuator.cpp
@@ -34,7 +34,7 @@
     return false;
   if (step.long_running)
     return true;
-  return step.checkpointing && run.begun + step.estimate > now + m_state.options.drain_least;
+  return step.checkpointing && run.begun + step.estimate > now + m_state.options.min_drain_time;
 }
 
 bool evacuator::too_many_away(const run_record& run) const
@@ -75,7 +75,7 @@
                          {"worker", worker.info.id.value},
                          {"room_at", target->info.id.value}});
     m_state.metrics.add(common::retry_reason::worker_leaving);
-    m_state.order_stop(*run, now);
+    m_state.request_stop(*run, now);
   }
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/JobRecord.cpp
+++ b/Source/Core/Scheduling/JobRecord.cpp
@@ -174,7 +174,7 @@
             step.tasks[i].phase != task_phase::done)
         {
           set_phase({c, s, i}, task_phase::done);
-          note_begun();
+          set_known_begun();
         }
       }
     }
@@ -192,7 +192,7 @@
       continue;
     // A run that was announced, or lost with its worker then, may never have been started.
     if (!history.failed_runs.empty() || !history.checkpoint.empty())
-      note_begun();
+      set_known_begun();
     task_record& kept = task(place);
     kept.failed_runs = history.failed_runs;
     kept.checkpoint = history.checkpoint;
@@ -257,7 +257,7 @@
   {
     for (step_record& step : cycle.steps)
     {
-      for (begin_mark* const mark : {&step.begun.mark, &step.begun.widened})
+      for (begin_mark* const mark : {&step.begun.mark, &step.begun.all_zones_mark})
         *mark = *mark == from ? to : *mark;
       for (task_record& task : step.tasks)
         task.announced = task.announced == from ? to : task.announced;
--- a/Source/Core/Scheduling/JobRecord.h
+++ b/Source/Core/Scheduling/JobRecord.h
@@ -31,7 +31,7 @@
 };
 
 // How often workers have been lost with the task in a way that counts against it.
-std::size_t counts_of(const jobs::crash_history& crashes);
+std::size_t counted_losses(const jobs::crash_history& crashes);
 // How many of its starts may have been lost with their workers, whatever is known of the cause.
 std::size_t lost_starts(const jobs::crash_history& crashes);
 // Whether it is tried apart from others.
@@ -56,9 +56,9 @@
   jobs::crash_history crashes;
   begin_mark announced = begin_mark::none; // of the run that `crashes` announces
   // The run by whose loss it is about to be given up, unless that turns out to be one of many.
-  std::optional<run_number> accused_by;
+  std::optional<run_number> pending_give_up_run;
   // Since when it waits for a worker that is fit for its trial.
-  std::optional<time_point> trial_wanted;
+  std::optional<time_point> waiting_for_trial_since;
   // Since when a task that lasts is seen not to run for certain (see wait_report).
   std::optional<time_point> idle_since;
   std::vector<run_record*> runs;
@@ -77,23 +77,23 @@
   boost::container::flat_map<worker_id, bool> permitted;
   bool asking = false;
   time_point ask_after{};
-  time_point latest_turn{}; // when it was last asked about, or there was no worker worth it
+  time_point last_advice_turn{}; // when it was last asked about, or there was no worker worth it
 };
 
 // Where tasks of a step may be started, as far as later owners know or are about to.
-struct begun_record
+struct step_begin_marks
 {
   begin_mark mark = begin_mark::none;
   std::string zone; // on its workers alone; empty: on any
   // The same for all workers, where the zone turned out too small.
-  begin_mark widened = begin_mark::none;
+  begin_mark all_zones_mark = begin_mark::none;
 
-  bool anywhere() const { return zone.empty() || widened != begin_mark::none; }
+  bool anywhere() const { return zone.empty() || all_zones_mark != begin_mark::none; }
   // Whether a task may be meant for a worker of that zone, and whether it may be started there.
   bool covers(const std::string& in) const { return anywhere() || in == zone; }
   bool written_for(const std::string& in) const
   {
-    return widened == begin_mark::written ||
+    return all_zones_mark == begin_mark::written ||
            (mark == begin_mark::written && (zone.empty() || in == zone));
   }
 };
@@ -105,7 +105,7 @@
   std::uint32_t waiting = 0;
   std::uint32_t done = 0;
   step_permits permits;
-  begun_record begun;
+  step_begin_marks begun;
 
   // Since when tasks of it are seen to wait though it is ready (see backlog).
   std::optional<time_point> waiting_since;
@@ -139,7 +139,7 @@
   jobs::job_state state() const { return m_state; }
   // Whether a task is known to have begun: by a worker's answer or lists, or by an earlier owner.
   bool known_begun() const { return m_known_begun; }
-  void note_begun() { m_known_begun = true; }
+  void set_known_begun() { m_known_begun = true; }
   // True of the first order of a start only, and not if a task had begun before this owner.
   bool first_start() { return !std::exchange(m_start_ordered, true) && !m_known_begun; }
   bool ended() const { return jobs::is_final(m_state); }
@@ -150,7 +150,7 @@
   time_point worthless() const { return m_worthless; }
   time_point accepted_at() const { return m_accepted_at; }
   // What a job can still earn if this step starts now.
-  milliseconds chain_from(std::uint32_t step) const { return m_chains[step]; }
+  milliseconds critical_path_from(std::uint32_t step) const { return m_chains[step]; }
   job_prospect prospect(std::uint32_t step, time_point now) const;
 
   std::vector<cycle_record>& cycles() { return m_cycles; }
--- a/Source/Core/Scheduling/JobScheduler.cpp
+++ b/Source/Core/Scheduling/JobScheduler.cpp
@@ -60,10 +60,10 @@
       wall.time_since_epoch() - std::chrono::duration_cast<milliseconds>(now.time_since_epoch());
 }
 
-void job_scheduler::set_order_times(duration patience, duration round_trip)
+void job_scheduler::set_request_times(duration patience, duration round_trip)
 {
   m_state.order_patience = patience;
-  m_state.order_round_trip = round_trip;
+  m_state.request_round_trip = round_trip;
 }
 
 void job_scheduler::set_authority(time_point until, time_point confirmed)
@@ -78,14 +78,14 @@
   m_holder.token_given();
 }
 
-void job_scheduler::hold_orders()
+void job_scheduler::suspend_starts()
 {
-  m_state.orders_begun = false;
+  m_state.starts_allowed = false;
 }
 
-void job_scheduler::begin_orders()
+void job_scheduler::allow_starts()
 {
-  m_state.orders_begun = true;
+  m_state.starts_allowed = true;
   m_state.place_again = true;
 }
 
@@ -94,9 +94,9 @@
   m_state.placing_ended = true;
 }
 
-void job_scheduler::doubt_stated_ends()
+void job_scheduler::ignore_stated_ends()
 {
-  m_state.stated_ends_doubted = true;
+  m_state.stated_ends_ignored = true;
 }
 
 void job_scheduler::restore_claim(const worker_id& id, const worker_claim& claim, time_point now)
@@ -152,18 +152,18 @@
   }
 }
 
-void job_scheduler::set_earlier_end(time_point end)
+void job_scheduler::set_earlier_owners_lease_end(time_point end)
 {
-  m_state.earlier_end = end;
+  m_state.earlier_owners_lease_end = end;
 }
 
-void job_scheduler::bring_earlier_end_forward(time_point end)
+void job_scheduler::shorten_earlier_owners_leases(time_point end)
 {
-  m_state.earlier_end = std::min(m_state.earlier_end, end);
+  m_state.earlier_owners_lease_end = std::min(m_state.earlier_owners_lease_end, end);
   for (const auto& [id, worker] : m_state.workers)
   {
     if (!worker->claimed)
-      worker->lease_end = std::min(worker->lease_end, m_state.earlier_end);
+      worker->lease_end = std::min(worker->lease_end, m_state.earlier_owners_lease_end);
   }
 }
 
@@ -182,7 +182,7 @@
 
 void job_scheduler::start_answered(const start_answer& answer, time_point now)
 {
-  if (answer.end == call_end::other_life)
+  if (answer.end == call_end::other_incarnation)
     m_holder.on_other_worker(answer.worker, answer.sent, now);
   else
     m_follower.on_start(answer, now);
@@ -190,7 +190,7 @@
 
 void job_scheduler::stop_answered(const stop_answer& answer, time_point now)
 {
-  if (answer.end == call_end::other_life)
+  if (answer.end == call_end::other_incarnation)
     m_holder.on_other_worker(answer.worker, answer.sent, now);
   else
     m_follower.on_stop(answer, now);
@@ -215,11 +215,12 @@
 
 bool job_scheduler::ends_unheard(const worker_record& worker, time_point now) const
 {
-  if (worker.silent_for(m_state.options.close_claim, now))
+  if (worker.silent_for(m_state.options.close_claim_after, now))
     return true;
-  const duration patience = std::max(m_state.options.state_end, 2 * m_state.order_round_trip);
+  const duration patience =
+      std::max(m_state.options.state_end_after, 2 * m_state.request_round_trip);
   return !worker.claimed && worker.taken_over && now - *worker.taken_over >= patience &&
-         m_holder.unheard() <= m_state.options.most_early_ends;
+         m_holder.unheard() <= m_state.options.max_early_stated_ends;
 }
 
 bool job_scheduler::claim_outdated(const worker_record& worker, time_point now) const
@@ -233,7 +234,7 @@
   const bool end_kept = worker.claim && worker.claim->over;
   if (!worker.claimed)
     return silent && (!end_kept || worker.lease_end < *worker.claim->over);
-  const bool closed = worker.wants_closed_claim(m_state.options.close_claim, now);
+  const bool closed = worker.wants_closed_claim(m_state.options.close_claim_after, now);
   return !worker.claim || worker.claim->born != worker.born || worker.claim->closed != closed ||
          end_kept != silent || (closed && worker.runs.size() < worker.claim->tasks.size());
 }
@@ -254,7 +255,7 @@
   claim.born = worker.born;
   if (!worker.claimed)
     return claim;
-  claim.closed = worker.wants_closed_claim(m_state.options.close_claim, now);
+  claim.closed = worker.wants_closed_claim(m_state.options.close_claim_after, now);
   if (!claim.closed)
     return claim;
   for (const auto& [task, run] : worker.runs)
@@ -385,16 +386,16 @@
 
 duration job_scheduler::pass_spacing() const
 {
-  const duration by_workers = m_state.options.pass_spacing_a_worker * m_state.workers.size();
-  const duration by_steps = m_state.options.pass_spacing_a_step * m_placer.looked_at();
-  return std::max(m_state.options.pass_spacing_least, by_workers + by_steps);
+  const duration by_workers = m_state.options.pass_spacing_per_worker * m_state.workers.size();
+  const duration by_steps = m_state.options.pass_spacing_per_step * m_placer.looked_at();
+  return std::max(m_state.options.min_pass_spacing, by_workers + by_steps);
 }
 
 bool job_scheduler::survey_due()
 {
   if (m_state.workers.size() <= m_state.options.small_partition)
     return true;
-  return m_passes++ % m_state.options.passes_a_survey == 0;
+  return m_passes++ % m_state.options.passes_per_survey == 0;
 }
 
 void job_scheduler::tick(time_point now)
--- a/Source/Core/Scheduling/JobScheduler.h
+++ b/Source/Core/Scheduling/JobScheduler.h
@@ -61,7 +61,7 @@
   void set_wall_clock(jobs::wall_time wall, time_point now);
   void set_advice_slots(const advice_slots& slots) { m_advice.set_slots(slots); }
   // How long an order may be without an answer at present, and how long answers take.
-  void set_order_times(duration patience, duration round_trip);
+  void set_request_times(duration patience, duration round_trip);
   // How late the event loop was at the latest.
   void set_loop_lateness(duration lateness) { m_loop_lateness = lateness; }
   // Orders may be given until this time; the latest renewal of the ownership that the store has
@@ -70,14 +70,14 @@
   // Another token of this owner, higher than those before; the first one comes before any order.
   void token_given(fencing_token token);
   // Nothing is started and no lease extended between these two; workers are held all the same.
-  void hold_orders();
-  void begin_orders();
+  void suspend_starts();
+  void allow_starts();
   // From now on nothing is started; leases are still extended, ends still taken in.
   void end_placing();
 
   // The latest owner was of a version that states no ends in claims, nor takes them back: those
   // that stand there are not believed, and replaced. Told before any claim is restored.
-  void doubt_stated_ends();
+  void ignore_stated_ends();
   // A worker that an earlier owner had claimed.
   void restore_claim(const worker_id& id, const worker_claim& claim, time_point now);
   void worker_entry(const worker_info& info, time_point now);
@@ -93,9 +93,9 @@
                    time_point now);
   // After this, nothing that an earlier owner ordered can be running on a worker not heard since.
   // Told before any worker is.
-  void set_earlier_end(time_point end);
+  void set_earlier_owners_lease_end(time_point end);
   // It is over sooner than that.
-  void bring_earlier_end_forward(time_point end);
+  void shorten_earlier_owners_leases(time_point end);
   // All earlier jobs and known workers are here: their tasks wait until every worker is heard.
   void begin_accounting(time_point now);
   void cancel_job(const std::string& id, time_point now);
@@ -120,7 +120,7 @@
   // Whether orders may be given: no other owner can have come long ago.
   bool may_act(time_point now) const { return m_state.may_act(now); }
   // Jobs whose end has been written since the last call.
-  std::vector<std::string> take_ended() { return std::exchange(m_just_ended, {}); }
+  std::vector<std::string> take_ended_jobs() { return std::exchange(m_just_ended, {}); }
   bool fenced() const { return m_state.fenced; }
   // Whether ends or final states wait to be written.
   bool has_changes(time_point now) const;
@@ -128,7 +128,7 @@
   // Also true for jobs that have ended under this owner and are no longer held in memory.
   bool knew(const std::string& job) const { return knows(job) || m_forgotten.contains(job); }
   // Whether the job's latest state waits for a commit.
-  bool unwritten(const std::string& job) const { return m_state.dirty.contains(job); }
+  bool has_uncommitted_state(const std::string& job) const { return m_state.dirty.contains(job); }
   // Also of jobs that have ended under this owner; the state of those is written.
   std::optional<jobs::job_state> state_of(const std::string& job) const;
   partition_load load() const { return load_of(m_state); }
--- a/Source/Core/Scheduling/Placer.cpp
+++ b/Source/Core/Scheduling/Placer.cpp
@@ -98,10 +98,10 @@
 {
   const auto found = blocked.find(each.job->accepted().queue);
   const std::size_t before = found == blocked.end() ? 0 : found->second;
-  if (before < m_state.options.blocked_steps_a_pass)
+  if (before < m_state.options.blocked_steps_per_pass)
     return true;
-  return before / m_state.options.backlog_window % m_state.options.backlog_turns ==
-         m_passes % m_state.options.backlog_turns;
+  return before / m_state.options.backlog_window % m_state.options.backlog_rotation_passes ==
+         m_passes % m_state.options.backlog_rotation_passes;
 }
 
 bool placer::serve(const waiting_step& each, time_point now)
@@ -240,17 +240,17 @@
   task_record& task = job.task(place);
   if (m_crashes.postponed(task, now))
   {
-    task.trial_wanted.reset();
+    task.waiting_for_trial_since.reset();
     return;
   }
   const bool kept = m_crashes.keeps_worker_for(task, now);
   // While a decisive trial waits, there is always a worker that is becoming fit for it.
-  if (task.trial_wanted && (kept || !crash_watch::decisive(task)))
+  if (task.waiting_for_trial_since && (kept || !crash_watch::decisive(task)))
     return;
   worker_record* const worker = best_worker(job, place, now, trials::ignored);
   if (worker == nullptr)
     return;
-  task.trial_wanted = task.trial_wanted.value_or(now);
+  task.waiting_for_trial_since = task.waiting_for_trial_since.value_or(now);
   m_crashes.keep_for_trial(*worker, task, now);
 }
 
@@ -259,26 +259,26 @@
   job_record& job = *each.job;
   step_record& step = job.cycles()[each.cycle].steps[each.step];
   if (step.begun.mark == begin_mark::none)
-    m_state.want_begun(job, step, m_zones.choose(job, each.cycle, each.step, now));
+    m_state.request_begin_mark(job, step, m_zones.choose(job, each.cycle, each.step, now));
   return step.begun.written_for(worker.info.zone);
 }
 
 void placer::leave_small_zone(job_record& job, step_record& step)
 {
   if (!job.policy().advice || (!step.permits.asking && !step.permits.permitted.empty()))
-    m_state.want_anywhere(job, step);
+    m_state.request_begin_mark_in_all_zones(job, step);
 }
 
 void placer::advise_in_turn(const std::vector<waiting_step>& steps, time_point now)
 {
   const waiting_step* longest = nullptr;
-  time_point earliest = now - m_state.options.advice_turn;
+  time_point earliest = now - m_state.options.max_advice_turn_wait;
   for (const waiting_step& each : steps)
   {
     const step_permits& permits = each.job->cycles()[each.cycle].steps[each.step].permits;
     if (!each.job->policy().advice || permits.asking)
       continue;
-    const time_point waits_since = std::max(permits.latest_turn, each.job->accepted_at());
+    const time_point waits_since = std::max(permits.last_advice_turn, each.job->accepted_at());
     if (waits_since > earliest)
       continue;
     longest = &each;
@@ -334,7 +334,7 @@
     const auto late =
         std::count_if(worker->runs.begin(), worker->runs.end(),
                       [this, now](const auto& each) { return m_state.overdue(*each.second, now); });
-    if (static_cast<std::size_t>(late) < m_state.options.overdue_to_avoid)
+    if (static_cast<std::size_t>(late) < m_state.options.overdue_runs_to_avoid)
       continue;
     if (worker->slow_until <= now)
       common::log_process("worker_slow", {{"worker", id.value}, {"overdue_runs", late}});
@@ -353,7 +353,7 @@
   const jobs::crash_history& crashes = run.job->task(run.place).crashes;
   if (suspected(crashes) || (worker.suspect && crashes.any()))
     return false;
-  if (worker.suspect && now - worker.silent_since >= m_state.options.copy_silent)
+  if (worker.suspect && now - worker.silent_since >= m_state.options.copy_after_silence)
     return true;
   return m_state.overdue(run, now);
 }
@@ -361,7 +361,7 @@
 void placer::place_copies(time_point now)
 {
   // Another owner may have heard how the first run ended.
-  if (!m_state.surely_owner(now))
+  if (!m_state.ownership_recently_confirmed(now))
     return;
   std::vector<run_record*> late;
   for (const auto& [id, worker] : m_state.workers)
@@ -408,11 +408,11 @@
                                                : *known->second;
   const std::string* const ticket = m_advice.ticket(job, job.step(place), worker.info.id, now);
   m_crashes.mark_trial(run, now);
-  job.task(place).trial_wanted.reset();
+  job.task(place).waiting_for_trial_since.reset();
   worker.latest_start = now;
   run.last_sent = now;
   run.sends = 1;
-  run.start_expires = m_state.extended_lease(worker, now);
+  run.start_expires = m_state.extend_worker_lease(worker, now);
   run.ticket = ticket == nullptr ? std::string() : *ticket;
   run.ticket_over = m_advice.ticket_over(job, job.step(place), worker.info.id);
   m_state.starts.take();
@@ -424,6 +424,6 @@
   }
   m_state.commands.emplace_back(start_command{
       worker.info.id, worker.info.address, run.ref(), number, job.accepted().spec.payload,
-      m_state.start_lease(run, now), job.task(place).checkpoint, run.ticket, worker.token});
+      m_state.start_lease_end(run, now), job.task(place).checkpoint, run.ticket, worker.token});
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/Reservations.cpp
+++ b/Source/Core/Scheduling/Reservations.cpp
@@ -72,7 +72,7 @@
 {
   const step_record& in = job.cycles()[cycle].steps[step];
   // No room comes sooner than now.
-  if (now + job.chain_from(step) > job.objective())
+  if (now + job.critical_path_from(step) > job.objective())
     return;
   const common::resources room = room_of(*in.spec);
   std::vector<std::pair<time_point, worker_id>> candidates;
@@ -82,7 +82,7 @@
         !suits(worker, job, in) || m_kept.contains(worker.info.id))
       return;
     const auto when = room_from(worker, room, now);
-    if (when && *when + job.chain_from(step) <= job.objective())
+    if (when && *when + job.critical_path_from(step) <= job.objective())
       candidates.emplace_back(*when, worker.info.id);
   };
   if (job.policy().advice)
--- a/Source/Core/Scheduling/RunFollower.cpp
+++ b/Source/Core/Scheduling/RunFollower.cpp
@@ -19,7 +19,7 @@
 {
   if (answer.end == call_end::fenced)
   {
-    m_state.note_fenced(answer.worker, answer.token);
+    m_state.record_fenced_reply(answer.worker, answer.token);
     return;
   }
   worker_record* const worker = m_state.find_worker(answer.worker);
@@ -35,7 +35,7 @@
   {
   case call_end::done:
     run->start_answered = now;
-    run->job->note_begun();
+    run->job->set_known_begun();
     if (run->phase == run_phase::starting)
       run->phase = run_phase::running;
     return;
@@ -59,7 +59,7 @@
                        {"reason", to_text(end)},
                        {"sends", run.sends}});
   if (end == call_end::no_room)
-    worker.avoid_until = now + m_state.options.room_pause;
+    worker.avoid_until = now + m_state.options.no_room_pause;
   if (end == call_end::unhealthy)
     worker.avoid_until = now + m_state.options.unhealthy_pause;
   if (end == call_end::bad_ticket)
@@ -91,7 +91,7 @@
 void run_follower::on_stop(const stop_answer& answer, time_point now)
 {
   if (answer.end == call_end::fenced)
-    m_state.note_fenced(answer.worker, answer.token);
+    m_state.record_fenced_reply(answer.worker, answer.token);
   worker_record* const worker = m_state.find_worker(answer.worker);
   if (worker == nullptr)
     return;
@@ -128,13 +128,13 @@
     return;
   note_failures(worker, end, now);
   m_crashes.run_told(*job, end.task.place, end.run);
-  job->note_begun();
+  job->set_known_begun();
   task_record& task = job->task(end.task.place);
   task.last_run = std::max(task.last_run, end.run);
-  if (end.how != run_end::done && !end.checkpoint.empty() &&
+  if (end.how != run_outcome::done && !end.checkpoint.empty() &&
       job->step(end.task.place).spec->checkpointing)
     task.checkpoint = end.checkpoint;
-  if (end.how != run_end::done)
+  if (end.how != run_outcome::done)
     common::log_request("run_ended", end.task.job,
                         {{"step", end.task.place.step},
                          {"task", end.task.place.index},
@@ -146,7 +146,7 @@
   // It is removed first: what is stopped below is what still runs.
   if (run_record* const run = m_state.find_run(worker.info.id, end.task, end.run))
   {
-    if (end.how == run_end::done && !run->spec().gang && worker.slow_until <= now)
+    if (end.how == run_outcome::done && !run->spec().gang && worker.slow_until <= now)
       m_state.runtimes.learn(job->accepted().queue, run->spec().estimate, now - run->begun);
     m_state.remove_run(*run);
   }
@@ -154,21 +154,21 @@
   if (!job->ended())
   {
     m_state.mark_dirty(*job);
-    if (end.how == run_end::done)
+    if (end.how == run_outcome::done)
       task_done(*job, end.task.place, now);
-    if (end.how == run_end::failed)
+    if (end.how == run_outcome::failed)
       task_failed(*job, end, now);
   }
   m_copies.note_end(worker, end, now);
-  if (end.how == run_end::done)
+  if (end.how == run_outcome::done)
     check_complete(*job, now);
 }
 
 void run_follower::note_failures(worker_record& worker, const listed_end& end, time_point now)
 {
-  if (end.how == run_end::done)
+  if (end.how == run_outcome::done)
     worker.failures_in_a_row = 0;
-  if (end.how != run_end::failed)
+  if (end.how != run_outcome::failed)
     return;
   ++worker.failures_in_a_row;
   if (worker.failures_in_a_row < m_state.options.failures_to_pause)
@@ -194,7 +194,7 @@
     if (step.spec->gang)
       continue;
     for (run_record* run : job.task(member).runs)
-      m_state.order_stop(*run, now);
+      m_state.request_stop(*run, now);
   }
   m_state.place_again = true;
 }
@@ -231,7 +231,7 @@
     for (run_record* run : task.runs)
     {
       if (run->number == number)
-        m_state.order_stop(*run, now);
+        m_state.request_stop(*run, now);
     }
   }
 }
@@ -246,7 +246,7 @@
     run.orphaned = false;
     run.percent = listed.percent;
     run.load = listed.load;
-    run.job->note_begun();
+    run.job->set_known_begun();
     if (!listed.checkpoint.empty())
       run.checkpoint = listed.checkpoint;
     if (!run.start_answered)
@@ -273,7 +273,7 @@
   run.phase = run_phase::running;
   run.listed = true;
   run.start_answered = now;
-  job.note_begun();
+  job.set_known_begun();
   run.percent = listed.percent;
   if (!listed.checkpoint.empty())
     run.checkpoint = listed.checkpoint;
@@ -352,10 +352,10 @@
   {
     for (auto& [task, run] : worker->runs)
     {
-      if (run->last_sent + m_state.order_retry(run->sends) > now)
+      if (run->last_sent + m_state.request_retry(run->sends) > now)
         continue;
       if (run->phase == run_phase::stopping && !run->stop_answered)
-        m_state.order_stop(*run, now);
+        m_state.request_stop(*run, now);
       else if (run->phase == run_phase::starting)
         repeat_start(*run, now);
     }
@@ -371,7 +371,7 @@
   // alone does not void them.
   if (worker.clock_at(now) >= run.start_expires)
   {
-    m_state.order_stop(run, now);
+    m_state.request_stop(run, now);
     return;
   }
   // A copy would be rejected, and so would an earlier one that comes now.
@@ -386,7 +386,7 @@
   m_state.starts.take();
   m_state.commands.emplace_back(
       start_command{worker.info.id, worker.info.address, run.ref(), run.number,
-                    run.job->accepted().spec.payload, m_state.start_lease(run, now),
+                    run.job->accepted().spec.payload, m_state.start_lease_end(run, now),
                     run.job->task(run.place).checkpoint, run.ticket, worker.token});
 }
 
--- a/Source/Core/Scheduling/SchedulerMessages.cpp
+++ b/Source/Core/Scheduling/SchedulerMessages.cpp
@@ -15,7 +15,7 @@
   return k_names[static_cast<std::size_t>(end)];
 }
 
-std::string_view to_text(run_end end)
+std::string_view to_text(run_outcome end)
 {
   static constexpr std::array<std::string_view, 6> k_names{"done",   "failed", "stopped",
                                                            "lapsed", "broken", "alone"};
--- a/Source/Core/Scheduling/SchedulerMessages.h
+++ b/Source/Core/Scheduling/SchedulerMessages.h
@@ -37,7 +37,7 @@
 
 // When a worker's life began, by its own time of day. It tells the lives of one id apart and orders
 // nothing: clocks jump.
-using born_time = std::chrono::time_point<std::chrono::system_clock, milliseconds>;
+using incarnation_start = std::chrono::time_point<std::chrono::system_clock, milliseconds>;
 
 struct task_ref
 {
@@ -60,7 +60,7 @@
 struct worker_info
 {
   worker_id id; // several lives in a row may have it
-  std::optional<born_time> born;
+  std::optional<incarnation_start> born;
   common::endpoint address;
   std::string zone;
   std::string service;
@@ -81,7 +81,7 @@
   // All that runs there has surely ended then. Whoever has it written extends no lease there and
   // starts nothing until another claim is.
   std::optional<time_point> over = std::nullopt;
-  std::optional<born_time> born = std::nullopt; // of the worker's life that it is of
+  std::optional<incarnation_start> born = std::nullopt; // of the worker's life that it is of
 };
 
 // A time on a worker's own clock, in milliseconds.
@@ -149,7 +149,7 @@
 };
 
 // The sites' short calls take 20 to 40 ms, the long ones 400 and more.
-inline constexpr milliseconds k_long_advice{100};
+inline constexpr milliseconds k_long_advice_threshold{100};
 
 enum class call_end
 {
@@ -159,10 +159,10 @@
   too_late, // it arrived after the lease's end that it carried
   no_room,
   bad_ticket,
-  other_life, // another worker lives at that address: the one meant is gone
-  unhealthy,  // refused without having done anything
-  rejected,   // the call was malformed
-  unanswered  // may have been carried out, or may be later
+  other_incarnation, // another worker lives at that address: the one meant is gone
+  unhealthy,         // refused without having done anything
+  rejected,          // the call was malformed
+  unanswered         // may have been carried out, or may be later
 };
 
 std::string_view to_text(call_end end);
@@ -198,7 +198,7 @@
   std::int64_t load = 0;     // serving: its tail in ms; else the processor share in use, in millis
 };
 
-enum class run_end
+enum class run_outcome
 {
   done,
   failed,
@@ -208,14 +208,14 @@
   alone   // it waited in vain for the others of its gang
 };
 
-std::string_view to_text(run_end end);
+std::string_view to_text(run_outcome end);
 
 struct listed_end
 {
   end_number number = 0;
   task_ref task;
   run_number run = 0;
-  run_end how = run_end::lapsed;
+  run_outcome how = run_outcome::lapsed;
   std::string checkpoint;
 };
 
@@ -231,7 +231,7 @@
   fencing_token token = 0;
   // The call was told as unanswered before this answer came.
   bool late = false;
-  std::optional<born_time> born = std::nullopt; // of the life that has answered
+  std::optional<incarnation_start> born = std::nullopt; // of the life that has answered
 };
 
 struct admission_ticket
--- a/Source/Core/Scheduling/SchedulerState.cpp
+++ b/Source/Core/Scheduling/SchedulerState.cpp
@@ -39,7 +39,7 @@
   if (answered)
   {
     worker.heard_at = now;
-    note_heard(worker);
+    clear_zone_silence(worker);
     return;
   }
   zone_silence& silence = zone_silences[worker.info.zone];
@@ -48,29 +48,29 @@
     common::log_process("zone_silent", {{"zone", worker.info.zone}});
 }
 
-duration scheduler_state::order_retry(unsigned sends) const
+duration scheduler_state::request_retry(unsigned sends) const
 {
-  if (order_patience <= options.order_retry)
-    return options.order_retry;
-  const unsigned doublings = std::min(std::max(sends, 1U) - 1, options.most_retry_doublings);
+  if (order_patience <= options.request_retry)
+    return options.request_retry;
+  const unsigned doublings = std::min(std::max(sends, 1U) - 1, options.max_retry_doublings);
   return order_patience * (1U << doublings);
 }
 
-worker_clock_time scheduler_state::extended_lease(worker_record& worker, time_point now) const
+worker_clock_time scheduler_state::extend_worker_lease(worker_record& worker, time_point now) const
 {
-  worker.lease_end = std::max(worker.lease_end, now + options.longest_lease());
+  worker.lease_end = std::max(worker.lease_end, now + options.max_lease());
   return worker.clock_at(now) + std::chrono::duration_cast<milliseconds>(options.task_lease);
 }
 
 // Of a task that may run in copies, one may be done while the start of another is on its way: a
 // worker without a longer lease turns such a start away, and the next hold extends the lease.
-worker_clock_time scheduler_state::start_lease(const run_record& run, time_point now) const
+worker_clock_time scheduler_state::start_lease_end(const run_record& run, time_point now) const
 {
   if (!run.spec().speculative)
     return run.start_expires;
   return std::min(run.start_expires,
                   run.worker->clock_at(now) + std::chrono::duration_cast<milliseconds>(
-                                                  options.start_life_at(order_patience)));
+                                                  options.start_validity_at(order_patience)));
 }
 
 bool scheduler_state::usable(const worker_record& worker, time_point now) const
@@ -96,7 +96,8 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()) + wall_ahead);
 }
 
-void scheduler_state::want_begun(const job_record& job, step_record& step, const std::string& zone)
+void scheduler_state::request_begin_mark(const job_record& job, step_record& step,
+                                         const std::string& zone)
 {
   if (step.begun.mark != begin_mark::none)
     return;
@@ -104,11 +105,11 @@
   mark_dirty(job);
 }
 
-void scheduler_state::want_anywhere(const job_record& job, step_record& step)
+void scheduler_state::request_begin_mark_in_all_zones(const job_record& job, step_record& step)
 {
   if (step.begun.mark == begin_mark::none || step.begun.anywhere())
     return;
-  step.begun.widened = begin_mark::wanted;
+  step.begun.all_zones_mark = begin_mark::wanted;
   place_again = true;
   mark_dirty(job);
 }
@@ -157,9 +158,9 @@
   place_again = true;
 }
 
-void scheduler_state::order_stop(run_record& run, time_point now)
+void scheduler_state::request_stop(run_record& run, time_point now)
 {
-  if (run.phase == run_phase::stopping && run.last_sent + order_retry(1) > now)
+  if (run.phase == run_phase::stopping && run.last_sent + request_retry(1) > now)
     return;
   run.phase = run_phase::stopping;
   run.last_sent = now;
@@ -187,13 +188,13 @@
       for (task_record& task : step.tasks)
       {
         for (run_record* run : task.runs)
-          order_stop(*run, now);
+          request_stop(*run, now);
       }
     }
   }
 }
 
-void scheduler_state::forget_tickets(const worker_id& worker)
+void scheduler_state::drop_tickets(const worker_id& worker)
 {
   for (const std::string& id : open)
   {
@@ -208,7 +209,7 @@
   }
 }
 
-void scheduler_state::outdate_token(worker_record& worker) const
+void scheduler_state::supersede_token(worker_record& worker) const
 {
   worker.token_outdated = newest_token <= worker.token;
   if (worker.token_outdated)
@@ -220,13 +221,13 @@
 
 // This owner has given the worker a newer token itself, if the call's was not the latest one: such
 // a call came too late, and nobody else is about.
-void scheduler_state::note_fenced(const worker_id& worker, fencing_token token)
+void scheduler_state::record_fenced_reply(const worker_id& worker, fencing_token token)
 {
   const worker_record* const known = find_worker(worker);
   fenced |= token >= (known == nullptr ? newest_token : known->token);
 }
 
-void scheduler_state::lose_runs(worker_record& worker, lost_runs which, const char* why)
+void scheduler_state::remove_lost_runs(worker_record& worker, lost_runs which, const char* why)
 {
   std::vector<run_record*> lost;
   for (const auto& [task, run] : worker.runs)
--- a/Source/Core/Scheduling/TakeoverAccounting.cpp
+++ b/Source/Core/Scheduling/TakeoverAccounting.cpp
@@ -14,7 +14,7 @@
 {
 }
 
-void takeover_accounting::expect(const worker_id& id, const worker_claim& claim)
+void takeover_accounting::expect_worker(const worker_id& id, const worker_claim& claim)
 {
   if (claim.closed)
     m_listed[id] = claim.tasks;
@@ -97,7 +97,7 @@
 
 // What still may have run on workers that were never heard, and whose leases are over, counts as
 // lost unheard: a later owner may have heard of its end.
-void takeover_accounting::give_up_unheard(time_point now)
+void takeover_accounting::expire_unheard_workers(time_point now)
 {
   const auto is_over = [this, now](const auto& each)
   {
@@ -115,7 +115,7 @@
   release_accounted("leases of earlier owners are over", now);
 }
 
-void takeover_accounting::worker_told(const worker_id& id, time_point now)
+void takeover_accounting::on_worker_reported(const worker_id& id, time_point now)
 {
   if (m_listed.erase(id) > 0 && m_under_way)
     release_accounted("listed tasks are told", now);
@@ -147,7 +147,8 @@
       {{"why", why}, {"released", released}, {"unheard", m_unheard.size()}, {"held", held.size()}});
 }
 
-bool takeover_accounting::may_hold(const job_record& job, const task_place& place) const
+bool takeover_accounting::earlier_start_possible(const job_record& job,
+                                                 const task_place& place) const
 {
   if (!m_under_way)
     return false;
@@ -161,8 +162,8 @@
                      });
 }
 
-std::vector<worker_id> takeover_accounting::holders_of(const job_record& job,
-                                                       const task_place& place) const
+std::vector<worker_id> takeover_accounting::unheard_workers_of(const job_record& job,
+                                                               const task_place& place) const
 {
   std::vector<worker_id> holders;
   const step_record& step = job.cycles()[place.cycle].steps[place.step];
@@ -180,13 +181,13 @@
   return holders;
 }
 
-bool takeover_accounting::waits_for(const worker_id& id) const
+bool takeover_accounting::awaits_report_of(const worker_id& id) const
 {
   return m_under_way && (m_unheard.contains(id) || m_listed.contains(id));
 }
 
 // For each task of a worker that does not answer: why it waits, and how long at most.
-void takeover_accounting::tell_listed(const worker_record& worker, time_point now) const
+void takeover_accounting::log_held_tasks(const worker_record& worker, time_point now) const
 {
   const auto listed = m_listed.find(worker.info.id);
   if (!m_under_way || listed == m_listed.end())
--- a/Source/Core/Scheduling/TakeoverAccounting.h
+++ b/Source/Core/Scheduling/TakeoverAccounting.h
@@ -23,23 +23,23 @@
   takeover_accounting(scheduler_state& state, crash_watch& crashes);
 
   // A worker that an earlier owner had claimed; told before the accounting begins.
-  void expect(const worker_id& id, const worker_claim& claim);
+  void expect_worker(const worker_id& id, const worker_claim& claim);
   void begin(time_point now);
   bool under_way() const { return m_under_way; }
   // The worker has told what runs there, or its life has ended.
-  void worker_told(const worker_id& id, time_point now);
+  void on_worker_reported(const worker_id& id, time_point now);
   // A life that an earlier owner had claimed is known to have ended.
   void life_ended(const worker_id& id, time_point now);
   // What still may have run on workers whose leases are over counts as lost unheard.
-  void give_up_unheard(time_point now);
+  void expire_unheard_workers(time_point now);
   // Whether an earlier owner's start of the task may be on its way to a worker not heard yet.
-  bool may_hold(const job_record& job, const task_place& place) const;
+  bool earlier_start_possible(const job_record& job, const task_place& place) const;
   // The workers on which it may be.
-  std::vector<worker_id> holders_of(const job_record& job, const task_place& place) const;
+  std::vector<worker_id> unheard_workers_of(const job_record& job, const task_place& place) const;
   // Whether tasks of earlier owners wait for the worker's word.
-  bool waits_for(const worker_id& id) const;
+  bool awaits_report_of(const worker_id& id) const;
   // Logs for each task that waits for the silent worker why it does, and how long at most.
-  void tell_listed(const worker_record& worker, time_point now) const;
+  void log_held_tasks(const worker_record& worker, time_point now) const;
 
 private:
   // Its tasks may have been lost with the worker.
--- a/Source/Core/Scheduling/WaitReport.cpp
+++ b/Source/Core/Scheduling/WaitReport.cpp
@@ -64,11 +64,12 @@
   return wait;
 }
 
-std::string mark_state(const begun_record& begun)
+std::string mark_state(const step_begin_marks& begun)
 {
   static constexpr auto k_marks = std::to_array<std::string_view>(
       {"not asked for", "waits for a commit", "is being written", "is written for another zone"});
-  const begin_mark mark = begun.widened == begin_mark::none ? begun.mark : begun.widened;
+  const begin_mark mark =
+      begun.all_zones_mark == begin_mark::none ? begun.mark : begun.all_zones_mark;
   return "the mark " + std::string(common::name_of(k_marks, mark));
 }
 
@@ -203,7 +204,7 @@
   if (which.job->task(which.place).phase != task_phase::unaccounted)
     return std::nullopt;
   task_wait wait = wait_for(wait_reason::unaccounted);
-  const std::vector<worker_id> holders = m_accounting.holders_of(*which.job, which.place);
+  const std::vector<worker_id> holders = m_accounting.unheard_workers_of(*which.job, which.place);
   const worker_record* longest = nullptr;
   for (const worker_id& id : holders)
   {
--- a/Source/Core/Scheduling/WorkerHolder.cpp
+++ b/Source/Core/Scheduling/WorkerHolder.cpp
@@ -34,7 +34,7 @@
   slot->first_seen = now;
   slot->token = m_state.newest_token;
   // Unless it says otherwise, an earlier owner may still have runs there.
-  slot->lease_end = m_state.earlier_end;
+  slot->lease_end = m_state.earlier_owners_lease_end;
   return *slot;
 }
 
@@ -47,12 +47,12 @@
   worker.taken_over = now;
   worker.known = claim.born.has_value();
   worker.born = claim.born;
-  worker.claim_doubted = claim.over && m_state.stated_ends_doubted;
+  worker.claim_doubted = claim.over && m_state.stated_ends_ignored;
   if (worker.claim_doubted)
     worker.claim->over.reset();
   else if (claim.over)
     worker.lease_end = std::min(worker.lease_end, *claim.over);
-  m_accounting.expect(id, claim);
+  m_accounting.expect_worker(id, claim);
   hold(worker, now);
 }
 
@@ -114,7 +114,7 @@
   worker->unlisted_since = now;
   if (worker->claimed && !worker->info.draining)
   {
-    worker->forget_at = now + m_state.options.unlisted_most;
+    worker->forget_at = now + m_state.options.unlisted_timeout;
     worker->ask_at_once = true;
   }
   common::log_process("worker_entry_gone", {{"worker", id.value},
@@ -138,7 +138,7 @@
   const bool ordered = worker.claimed;
   worker.begin_life(++m_state.lives);
   worker.first_seen = now;
-  m_state.forget_tickets(worker.info.id);
+  m_state.drop_tickets(worker.info.id);
   m_state.place_again = true;
   if (!ordered)
     return;
@@ -177,7 +177,7 @@
   worker->told_at = now;
   worker->forget_at = time_point{};
   worker->lease_end = time_point{};
-  m_accounting.worker_told(id, now);
+  m_accounting.on_worker_reported(id, now);
 }
 
 // An answer tells which life was there between its call and now. If the life known so far had not
@@ -214,7 +214,7 @@
              "the worker has started again under its id", now);
   // What was sent to the life before may extend this one's leases as far as they go.
   worker.follows_another = true;
-  worker.lease_end = now + m_state.options.longest_lease_of_others();
+  worker.lease_end = now + m_state.options.max_lease_of_others();
   worker.ask_at_once = true;
   if (worker.other_entry && worker.other_entry->born == answer.born)
   {
@@ -239,9 +239,9 @@
   order.acknowledged = surely_there ? forgettable : 0;
   // A worker that does not answer gets no longer lease: its runs must end some day. Nor does one of
   // which the store says when they do, until that is taken back.
-  if (m_state.orders_begun && worker.claimed && !worker.suspect && worker.clock_ahead &&
+  if (m_state.starts_allowed && worker.claimed && !worker.suspect && worker.clock_ahead &&
       !worker.end_stated())
-    order.lease_end = m_state.extended_lease(worker, now);
+    order.lease_end = m_state.extend_worker_lease(worker, now);
   // The worker forgets the ends acknowledged here before it looks for news, so the call that tells
   // it of them waits for the next one: one call an end instead of two.
   const bool settled = worker.claimed && !worker.suspect && worker.seen == forgettable;
@@ -258,7 +258,7 @@
 {
   if (worker.life_doubted)
     return false;
-  const time_point recent = now - std::max(m_state.options.fresh_lists, m_state.order_patience);
+  const time_point recent = now - std::max(m_state.options.max_list_age, m_state.order_patience);
   return worker.told_at >= recent ||
          std::none_of(worker.runs.begin(), worker.runs.end(),
                       [recent](const auto& each)
@@ -268,9 +268,9 @@
 milliseconds worker_holder::hold_wait() const
 {
   const scheduler_options& options = m_state.options;
-  const duration by_workers = options.hold_wait_a_worker * m_state.workers.size();
+  const duration by_workers = options.hold_wait_per_worker * m_state.workers.size();
   return std::chrono::duration_cast<milliseconds>(
-      std::clamp(by_workers, options.hold_wait, options.hold_wait_most));
+      std::clamp(by_workers, options.hold_wait, options.max_hold_wait));
 }
 
 bool worker_holder::hold_due(worker_record& worker, time_point now) const
@@ -311,7 +311,7 @@
 {
   if (answer.end == call_end::fenced)
   {
-    m_state.note_fenced(answer.worker, answer.token);
+    m_state.record_fenced_reply(answer.worker, answer.token);
     if (m_state.fenced)
       return;
   }
@@ -320,7 +320,7 @@
     return;
   if (!answer.late && worker->holds_under_way > 0)
     --worker->holds_under_way;
-  if (answer.end == call_end::other_life)
+  if (answer.end == call_end::other_incarnation)
   {
     on_other_worker(answer.worker, answer.sent, now);
     return;
@@ -336,18 +336,18 @@
                         {{"worker", worker->info.id.value},
                          {"end", to_text(answer.end)},
                          {"runs", worker->runs.size()},
-                         {"waited_for", m_accounting.waits_for(answer.worker)},
+                         {"waited_for", m_accounting.awaits_report_of(answer.worker)},
                          {"lease_left_ms", worker->lease_end - now}});
   if (lost && !worker->suspect)
-    m_accounting.tell_listed(*worker, now);
+    m_accounting.log_held_tasks(*worker, now);
   worker->set_suspect(lost, now);
   worker->life_doubted |= lost;
   if (lost)
-    m_state.outdate_token(*worker);
+    m_state.supersede_token(*worker);
   note_unlisted(*worker, !lost && answer.sent >= worker->unlisted_since);
   if (lost)
     return;
-  m_state.note_heard(*worker);
+  m_state.clear_zone_silence(*worker);
   worker->heard_at = now;
   if (answer.clock)
     worker->clock_ahead =
@@ -360,8 +360,8 @@
     worker->claimed = true;
     // From now on no earlier owner extends anything there.
     if (!worker->end_stated())
-      worker->lease_end = now + (worker->follows_another ? m_state.options.longest_lease_of_others()
-                                                         : m_state.options.longest_lease());
+      worker->lease_end = now + (worker->follows_another ? m_state.options.max_lease_of_others()
+                                                         : m_state.options.max_lease());
     m_state.place_again = true;
   }
   if (answer.clock && *answer.clock < worker->listed_at)
@@ -370,7 +370,7 @@
   // The answer shows which acknowledgement has arrived: ends up to it are listed no more.
   worker->acknowledged = std::max(worker->acknowledged, answer.acknowledged);
   m_follower.on_lists(*worker, answer, now);
-  m_accounting.worker_told(worker->info.id, now);
+  m_accounting.on_worker_reported(worker->info.id, now);
 }
 
 // A worker without an entry is there as long as it answers.
@@ -389,7 +389,7 @@
 void worker_holder::tick(time_point now)
 {
   if (m_accounting.under_way())
-    m_accounting.give_up_unheard(now);
+    m_accounting.expire_unheard_workers(now);
   m_unheard = 0;
   for (auto each = m_state.workers.begin(); each != m_state.workers.end();)
   {
--- a/Source/Core/Scheduling/WorkerRecord.h
+++ b/Source/Core/Scheduling/WorkerRecord.h
@@ -79,7 +79,7 @@
 {
   std::uint64_t number = 0; // no other life of any worker has it
   bool known = false;       // it has answered, or an earlier owner has heard it
-  std::optional<born_time> born;
+  std::optional<incarnation_start> born;
   // Until it is claimed, orders to an earlier life may reach it.
   bool follows_another = false;
   bool life_doubted = false; // a call has had no answer since its latest lists
--- a/Source/Core/Scheduling/ZoneChooser.cpp
+++ b/Source/Core/Scheduling/ZoneChooser.cpp
@@ -52,7 +52,8 @@
 
 bool zone_chooser::has_time(const job_record& job, std::uint32_t step, time_point now) const
 {
-  return job.objective() - (now + job.chain_from(step)) > m_state.options.longest_cut;
+  return job.objective() - (now + job.critical_path_from(step)) >
+         m_state.options.max_zone_isolation;
 }
 
 std::string zone_chooser::choose(const job_record& job, std::uint32_t cycle, std::uint32_t step,
--- a/Source/UnitTests/Node/OwnerWatchTest.cpp
+++ b/Source/UnitTests/Node/OwnerWatchTest.cpp
@@ -149,7 +149,7 @@
   BOOST_TEST(
       (watch.orders_end() >= watch.seen().changed_at + options.renew_period + options.authority));
   // What the scheduler calls a fresh word must be over before anybody takes over.
-  BOOST_TEST((scheduling::scheduler_options{}.fresh_word < options.silence_unlinked));
+  BOOST_TEST((scheduling::scheduler_options{}.max_renewal_age < options.silence_unlinked));
 }
 
 BOOST_FIXTURE_TEST_CASE(older_and_damaged_rows_are_left_out, watched_owner)
--- a/Source/UnitTests/Scheduling/BacklogTest.cpp
+++ b/Source/UnitTests/Scheduling/BacklogTest.cpp
@@ -41,15 +41,15 @@
   for (int i = 0; i < 20; ++i)
   {
     step();
-    BOOST_TEST(scheduler->steps_looked_at() <= options.blocked_steps_a_pass +
-                                                   k_backlog / options.backlog_turns +
+    BOOST_TEST(scheduler->steps_looked_at() <= options.blocked_steps_per_pass +
+                                                   k_backlog / options.backlog_rotation_passes +
                                                    options.backlog_window);
   }
 }
 
 BOOST_FIXTURE_TEST_CASE(passes_are_further_apart_the_more_they_look_at, long_backlog)
 {
-  BOOST_TEST((scheduler->pass_spacing() > 2 * options.pass_spacing_least));
+  BOOST_TEST((scheduler->pass_spacing() > 2 * options.min_pass_spacing));
   BOOST_TEST((scheduler->pass_spacing() < milliseconds{50}));
 }
 
@@ -57,7 +57,7 @@
 {
   scheduler->add_job(job("fits", {step_of(1)}), now);
   // One turn for the mark that it begins, one for its start.
-  for (std::size_t i = 0; i < 2 * options.backlog_turns && starts.empty(); ++i)
+  for (std::size_t i = 0; i < 2 * options.backlog_rotation_passes && starts.empty(); ++i)
   {
     pass(milliseconds{5});
     commit_and_step();
--- a/Source/UnitTests/Scheduling/CallsPerTaskTest.cpp
+++ b/Source/UnitTests/Scheduling/CallsPerTaskTest.cpp
@@ -29,7 +29,7 @@
 
   void slow_answers(milliseconds patience, milliseconds round_trip)
   {
-    scheduler->set_order_times(patience, round_trip);
+    scheduler->set_request_times(patience, round_trip);
   }
 };
 
@@ -55,7 +55,7 @@
 
 BOOST_FIXTURE_TEST_CASE(a_task_that_has_ended_is_not_stopped, started_task)
 {
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::done)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::done)});
   step();
   BOOST_TEST(stops.empty());
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
@@ -66,7 +66,7 @@
   yardhill::jobs::queue_policy once;
   once.max_attempts = 1;
   set_policy(once);
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::failed)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::failed)});
   step();
   BOOST_TEST(stops.empty());
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::failed));
@@ -75,7 +75,7 @@
 BOOST_FIXTURE_TEST_CASE(the_call_that_acknowledges_an_end_waits_for_the_next_one, started_task)
 {
   holds.clear();
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::done)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::done)});
   commit_and_step();
   BOOST_TEST_REQUIRE(holds.size() == 1U);
   BOOST_TEST(holds.front().acknowledged == 1U);
@@ -85,7 +85,7 @@
 BOOST_FIXTURE_TEST_CASE(an_end_that_is_not_written_yet_is_not_waited_on, started_task)
 {
   holds.clear();
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::done)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::done)});
   pass(options.hold_refresh);
   step();
   BOOST_TEST_REQUIRE(holds.size() == 1U);
@@ -95,13 +95,13 @@
 
 BOOST_FIXTURE_TEST_CASE(lost_starts_are_sent_again_soon_while_answers_are_fast, unanswered_start)
 {
-  scheduler->set_order_times(milliseconds{280}, milliseconds{3});
+  scheduler->set_request_times(milliseconds{280}, milliseconds{3});
   BOOST_TEST(sends_within(milliseconds{1250}) == 4U);
 }
 
 BOOST_FIXTURE_TEST_CASE(starts_are_sent_again_ever_later_while_answers_are_slow, unanswered_start)
 {
-  scheduler->set_order_times(milliseconds{500}, milliseconds{350});
+  scheduler->set_request_times(milliseconds{500}, milliseconds{350});
   // After 500, 1,500 and 3,500 ms.
   BOOST_TEST(sends_within(milliseconds{4000}) == 3U);
 }
--- a/Source/UnitTests/Scheduling/CrashWatchTest.cpp
+++ b/Source/UnitTests/Scheduling/CrashWatchTest.cpp
@@ -40,7 +40,7 @@
   void end_life(const worker_id& id)
   {
     scheduler->worker_entry_gone(id, now);
-    fail_hold(id.value, call_end::other_life);
+    fail_hold(id.value, call_end::other_incarnation);
   }
 
   // So many workers besides that one.
@@ -171,7 +171,7 @@
   BOOST_TEST(history_of(jobs::job_progress_from(batch.rows.at(k_job))).crashes.blamed.size() == 1U);
   const jobs::crash_history other =
       history_of(jobs::job_progress_from(batch.rows.at(k_other_job))).crashes;
-  BOOST_TEST(counts_of(other) == 0U);
+  BOOST_TEST(counted_losses(other) == 0U);
   BOOST_TEST(other.lost); // and its next run is announced
 }
 
@@ -202,7 +202,7 @@
   clear();
   start_job(k_other_job, step_of(1));
   BOOST_TEST(starts.empty());
-  pass(options.crash_trial * 4);
+  pass(options.crash_trial_time * 4);
   try_again();
   BOOST_TEST(starts.size() == 1U);
 }
@@ -234,7 +234,7 @@
   try_again();
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   answer_start(starts.front(), call_end::done);
-  pass(options.crash_survived);
+  pass(options.crash_survival_time);
   answer_hold(starts.front().worker.value, {running(starts.front())});
   BOOST_TEST(!history_of(written(*this)).crashes.any());
 }
@@ -254,7 +254,7 @@
     lose_others(latest.worker, 2);
     end_life(latest.worker);
     add_workers(3);
-    wait_and_try_again(options.background_window + options.steady_life);
+    wait_and_try_again(options.background_window + options.steady_incarnation_age);
   }
   BOOST_TEST((state() == jobs::job_state::active));
   BOOST_TEST(metrics.value(yardhill::common::counter::tasks_given_up) == 0U);
@@ -276,7 +276,7 @@
   crash_under(starts.front());
   BOOST_TEST((state() == jobs::job_state::active));
   lose_others(starts.front().worker, 3);
-  pass(options.conviction_wait);
+  pass(options.conviction_delay);
   step();
   BOOST_TEST((state() == jobs::job_state::active));
 }
@@ -295,7 +295,7 @@
     lose_others(latest.worker, 2);
     end_life(latest.worker);
     add_workers(3);
-    wait_and_try_again(options.background_window + options.steady_life);
+    wait_and_try_again(options.background_window + options.steady_incarnation_age);
     losses += starts.empty() ? 0 : 1;
   }
   BOOST_TEST(losses == 6);
@@ -315,10 +315,10 @@
   clear();
   crash_under(second);
   lose_others(second.worker, 3);
-  wait_and_try_again(options.crash_trial_patience);
+  wait_and_try_again(options.crash_trial_timeout);
   BOOST_TEST(starts.empty());
   wait_and_try_again(options.background_window);
-  wait_and_try_again(options.crash_trial_patience);
+  wait_and_try_again(options.crash_trial_timeout);
   BOOST_TEST(starts.size() == 1U);
 }
 
@@ -359,7 +359,7 @@
   scheduler->restore_job(job(k_job, {step_of(1)}), progress, now);
   begin();
   add_worker(worker("w1"));
-  pass(options.conviction_wait);
+  pass(options.conviction_delay);
   step();
   BOOST_TEST((scheduler->state_of(k_job) == jobs::job_state::failed));
   BOOST_TEST(starts.empty());
@@ -370,7 +370,7 @@
   restore_claim("w9", {{"10.0.0.9", 80}, "", false, {}});
   scheduler->restore_job(job(k_job, {step_of(1)}), announced_on_w9(), now);
   begin();
-  fail_hold("w9", call_end::other_life);
+  fail_hold("w9", call_end::other_incarnation);
   step();
   BOOST_TEST(history_of(written(*this)).crashes.blamed.size() == 3U);
 }
@@ -405,7 +405,7 @@
   restore_claim("w9", {{"10.0.0.9", 80}, "", false, {}});
   scheduler->restore_job(job(k_job, {step_of(1)}), announced_on_w9(), now);
   begin();
-  fail_hold("w9", call_end::other_life);
+  fail_hold("w9", call_end::other_incarnation);
   step();
   const commit_batch batch = scheduler->take_commit(1000, now);
   BOOST_TEST_REQUIRE(batch.releases.contains(worker_id("w9")));
@@ -425,7 +425,7 @@
   restore_claim("w9", {{"10.0.0.9", 80}, "", false, {}});
   restore_begun(k_job);
   begin();
-  fail_hold("w9", call_end::other_life);
+  fail_hold("w9", call_end::other_incarnation);
   step();
   const commit_batch batch = scheduler->take_commit(1000, now);
   BOOST_TEST_REQUIRE(batch.rows.contains(k_job));
--- a/Source/UnitTests/Scheduling/DrainTest.cpp
+++ b/Source/UnitTests/Scheduling/DrainTest.cpp
@@ -61,7 +61,7 @@
   BOOST_TEST(batch.claims.at(worker_id("w1")).tasks.size() == 1U);
   scheduler->commit_done(batch, true);
   BOOST_TEST(!scheduler->has_changes(now));
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::done)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::done)});
   batch = scheduler->take_commit(1000, now);
   BOOST_TEST_REQUIRE(batch.claims.contains(worker_id("w1")));
   BOOST_TEST(batch.claims.at(worker_id("w1")).tasks.empty());
@@ -73,7 +73,7 @@
   BOOST_TEST_REQUIRE(stops.size() == 1U);
   BOOST_TEST(starts.size() == 1U); // not before the first run has ended
   answer_stop(stops.front(), call_end::done);
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::stopped)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::stopped)});
   step();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   BOOST_TEST(starts.back().worker.value == "w2");
@@ -92,7 +92,7 @@
 {
   play(saving(seconds{10}));
   BOOST_TEST_REQUIRE(stops.size() == 1U);
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::stopped, "saved")});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::stopped, "saved")});
   step();
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   BOOST_TEST(starts.back().checkpoint == "saved");
--- a/Source/UnitTests/Scheduling/EndedJobsTest.cpp
+++ b/Source/UnitTests/Scheduling/EndedJobsTest.cpp
@@ -20,7 +20,8 @@
   owner.commit();
   owner.step();
   BOOST_TEST_REQUIRE(owner.starts.size() == 1U);
-  owner.answer_hold("w1", {}, {scheduler_harness::ended(1, owner.starts.front(), run_end::done)});
+  owner.answer_hold("w1", {},
+                    {scheduler_harness::ended(1, owner.starts.front(), run_outcome::done)});
   owner.commit();
   BOOST_TEST(!owner.scheduler->knows(id));
   BOOST_TEST(owner.scheduler->knew(id));
@@ -38,7 +39,7 @@
   yardhill::jobs::queue_policy policy;
   policy.max_attempts = 2;
   owner.set_policy(policy);
-  owner.scheduler->set_earlier_end(owner.now + std::chrono::seconds{16});
+  owner.scheduler->set_earlier_owners_lease_end(owner.now + std::chrono::seconds{16});
   owner.scheduler->worker_entry(scheduler_harness::worker("w1"), owner.now);
   owner.scheduler->worker_entry(scheduler_harness::worker("w2"), owner.now);
   yardhill::jobs::job_progress progress;
@@ -48,8 +49,8 @@
                                progress, owner.now);
   owner.scheduler->begin_accounting(owner.now);
   owner.step();
-  owner.answer_hold("w2", {}, {{1, {id, {0, 0, 0}}, 1002, run_end::failed, ""}});
-  owner.answer_hold("w1", {}, {{1, {id, {0, 0, 0}}, 1001, run_end::failed, ""}});
+  owner.answer_hold("w2", {}, {{1, {id, {0, 0, 0}}, 1002, run_outcome::failed, ""}});
+  owner.answer_hold("w1", {}, {{1, {id, {0, 0, 0}}, 1001, run_outcome::failed, ""}});
   BOOST_TEST((owner.scheduler->state_of(id) == yardhill::jobs::job_state::failed));
   owner.commit();
   owner.step();
--- a/Source/UnitTests/Scheduling/FirstOrdersTest.cpp
+++ b/Source/UnitTests/Scheduling/FirstOrdersTest.cpp
@@ -20,7 +20,7 @@
 {
   new_owner()
   {
-    scheduler->hold_orders();
+    scheduler->suspend_starts();
     add_worker(worker("w1"));
     scheduler->add_job(job(k_job, {step_of(1)}), now);
     step();
@@ -46,7 +46,7 @@
 
 BOOST_FIXTURE_TEST_CASE(orders_begin_with_the_first_renewal, new_owner)
 {
-  scheduler->begin_orders();
+  scheduler->allow_starts();
   step();
   commit(); // that the step begins
   step();
--- a/Source/UnitTests/Scheduling/HandOverTest.cpp
+++ b/Source/UnitTests/Scheduling/HandOverTest.cpp
@@ -32,7 +32,7 @@
 // Ends that come while it is on its way are listed again for the next owner.
 BOOST_FIXTURE_TEST_CASE(a_commit_with_all_ends_so_far_is_complete, busy_owner)
 {
-  answer_hold("w1", {running(starts.back())}, {ended(1, starts.front(), run_end::done)});
+  answer_hold("w1", {running(starts.back())}, {ended(1, starts.front(), run_outcome::done)});
   BOOST_TEST(scheduler->take_commit(90, now).complete);
 }
 
--- a/Source/UnitTests/Scheduling/InvalidEntryTest.cpp
+++ b/Source/UnitTests/Scheduling/InvalidEntryTest.cpp
@@ -48,7 +48,7 @@
   BOOST_TEST_REQUIRE(holds.size() == 1U); // its lease is extended
   BOOST_TEST(holds.front().lease_end.has_value());
   BOOST_TEST(stops.empty());
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::done)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::done)});
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
 }
 
--- a/Source/UnitTests/Scheduling/LostAnswersTest.cpp
+++ b/Source/UnitTests/Scheduling/LostAnswersTest.cpp
@@ -40,7 +40,7 @@
   BOOST_TEST_REQUIRE(holds.size() == 2U);
   BOOST_TEST(holds.back().wait.count() == 0);
   pass(milliseconds{5});
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::done)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::done)});
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
 }
 
@@ -49,7 +49,7 @@
   answer_start(starts.front(), call_end::done);
   const worker_clock_time before = clock();
   pass(milliseconds{50});
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::failed)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::failed)});
   clear();
   hold_answer late;
   late.worker = worker_id("w1");
--- a/Source/UnitTests/Scheduling/MeasuresTest.cpp
+++ b/Source/UnitTests/Scheduling/MeasuresTest.cpp
@@ -56,7 +56,7 @@
   urgent.answer_start(urgent.starts.front(), call_end::done);
   urgent.pass(milliseconds{20000});
   urgent.answer_hold("w1", {},
-                     {scheduler_harness::ended(1, urgent.starts.front(), run_end::lapsed)});
+                     {scheduler_harness::ended(1, urgent.starts.front(), run_outcome::lapsed)});
   urgent.clear();
   urgent.step();
   urgent.commit_and_step();
--- a/Source/UnitTests/Scheduling/PendingTest.cpp
+++ b/Source/UnitTests/Scheduling/PendingTest.cpp
@@ -43,7 +43,7 @@
 
 BOOST_FIXTURE_TEST_CASE(a_listed_end_shows_that_a_job_has_begun, started_job)
 {
-  answer_hold("w1", {}, {ended(1, starts.front(), run_end::failed)});
+  answer_hold("w1", {}, {ended(1, starts.front(), run_outcome::failed)});
   BOOST_TEST(pending() == 0U);
 }
 
--- a/Source/UnitTests/Scheduling/ReservationsTest.cpp
+++ b/Source/UnitTests/Scheduling/ReservationsTest.cpp
@@ -73,7 +73,7 @@
   start_job(k_later_job, sized(8000, milliseconds{10000}));
   BOOST_TEST(!started(k_later_job));
   pass(milliseconds{3900});
-  answer_hold("w1", {}, {ended(1, first, run_end::done)});
+  answer_hold("w1", {}, {ended(1, first, run_outcome::done)});
   begin();
   BOOST_TEST(started(k_large_job));
 }
--- a/Source/UnitTests/Scheduling/SchedulerHarness.cpp
+++ b/Source/UnitTests/Scheduling/SchedulerHarness.cpp
@@ -191,7 +191,7 @@
   return run;
 }
 
-listed_end scheduler_harness::ended(end_number number, const start_command& order, run_end how,
+listed_end scheduler_harness::ended(end_number number, const start_command& order, run_outcome how,
                                     const std::string& checkpoint)
 {
   return {number, order.task, order.run, how, checkpoint};
@@ -199,7 +199,7 @@
 
 takeover_harness::takeover_harness() : scheduler_harness(k_first_run_after_takeover)
 {
-  scheduler->set_earlier_end(now + k_earlier_leases);
+  scheduler->set_earlier_owners_lease_end(now + k_earlier_leases);
 }
 
 jobs::job_progress takeover_harness::begun()
--- a/Source/UnitTests/Scheduling/SchedulerHarness.h
+++ b/Source/UnitTests/Scheduling/SchedulerHarness.h
@@ -67,10 +67,10 @@
   // The token of the owner's latest commit.
   fencing_token token = 0;
   // Of the lives that answer from now on; none: workers that do not say it.
-  std::optional<born_time> born;
+  std::optional<incarnation_start> born;
 
   static listed_run running(const start_command& order);
-  static listed_end ended(end_number number, const start_command& order, run_end how,
+  static listed_end ended(end_number number, const start_command& order, run_outcome how,
                           const std::string& checkpoint = {});
 };
 
--- a/Source/UnitTests/Scheduling/StatedEndTest.cpp
+++ b/Source/UnitTests/Scheduling/StatedEndTest.cpp
@@ -32,7 +32,7 @@
   void fall_silent(const std::string& worker)
   {
     miss_hold(worker);
-    pass(options.close_claim);
+    pass(options.close_claim_after);
     step();
   }
 
@@ -79,7 +79,7 @@
 
   void take_over(const worker_claim& claim)
   {
-    scheduler->set_earlier_end(now + seconds{12});
+    scheduler->set_earlier_owners_lease_end(now + seconds{12});
     scheduler->restore_claim(worker_id("w9"), claim, now);
     scheduler->worker_entry(worker("w1"), now);
     yardhill::jobs::job_progress progress;
@@ -123,7 +123,7 @@
   BOOST_TEST_REQUIRE(claim.has_value());
   BOOST_TEST(claim->closed);
   BOOST_TEST_REQUIRE(claim->over.has_value());
-  BOOST_TEST((*claim->over == leased + options.longest_lease()));
+  BOOST_TEST((*claim->over == leased + options.max_lease()));
 }
 
 // An extended lease would make what the store says untrue.
@@ -246,9 +246,9 @@
 // between: it extends leases and leaves an end that was stated before as it is.
 BOOST_FIXTURE_TEST_CASE(an_end_is_not_believed_if_the_last_owner_knew_of_none, later_owner)
 {
-  scheduler->doubt_stated_ends();
+  scheduler->ignore_stated_ends();
   take_over(listed_until(now + seconds{1}));
-  pass(options.state_end);
+  pass(options.state_end_after);
   step();
   const auto claim = next_claim("w9");
   BOOST_TEST_REQUIRE(claim.has_value());
@@ -263,7 +263,7 @@
 {
   const time_point end = now + seconds{12};
   take_over(listed_until(std::nullopt));
-  pass(options.state_end);
+  pass(options.state_end_after);
   step();
   const auto claim = next_claim("w9");
   BOOST_TEST_REQUIRE(claim.has_value());
@@ -275,7 +275,7 @@
 {
   take_over(listed_until(std::nullopt));
   scheduler->worker_entry(worker("w9"), now);
-  pass(options.state_end);
+  pass(options.state_end_after);
   step();
   BOOST_TEST_REQUIRE(next_claim("w9").has_value());
   clear();
@@ -291,7 +291,7 @@
 BOOST_FIXTURE_TEST_CASE(an_end_that_is_not_believed_is_taken_back_before_a_lease_is_extended,
                         later_owner)
 {
-  scheduler->doubt_stated_ends();
+  scheduler->ignore_stated_ends();
   take_over(listed_until(now + seconds{1}));
   scheduler->worker_entry(worker("w9"), now);
   clear();
--- a/Source/UnitTests/Scheduling/TakeoverTest.cpp
+++ b/Source/UnitTests/Scheduling/TakeoverTest.cpp
@@ -81,7 +81,7 @@
 
 BOOST_FIXTURE_TEST_CASE(an_end_that_an_earlier_owner_did_not_acknowledge_counts, taken_over)
 {
-  answer_hold("w1", {}, {{1, {k_job, {0, 0, 0}}, earlier_run().run, run_end::done, ""}});
+  answer_hold("w1", {}, {{1, {k_job, {0, 0, 0}}, earlier_run().run, run_outcome::done, ""}});
   answer_hold("w2", {});
   step();
   BOOST_TEST(starts.empty());
@@ -258,7 +258,7 @@
   answer_hold("life-2", {});
   commit_and_step();
   BOOST_TEST(starts.size() == 1U);
-  fail_hold("life-1", call_end::other_life);
+  fail_hold("life-1", call_end::other_incarnation);
   step();
   commit_and_step(); // the run after a crash is announced first
   BOOST_TEST_REQUIRE(starts.size() == 2U);
@@ -270,7 +270,7 @@
                         scheduler_harness)
 {
   send_first_start();
-  answer_start(starts.front(), call_end::other_life);
+  answer_start(starts.front(), call_end::other_incarnation);
   fail_hold("w1", call_end::unanswered);
   step();
   BOOST_TEST(scheduler->take_commit(1000, now).releases.contains(worker_id("w1")));
--- a/Source/UnitTests/Scheduling/WorkerLivesTest.cpp
+++ b/Source/UnitTests/Scheduling/WorkerLivesTest.cpp
@@ -15,11 +15,11 @@
 
 namespace
 {
-const born_time k_first{milliseconds{1'000'000}};
+const incarnation_start k_first{milliseconds{1'000'000}};
 // A clock may have jumped back: which life is the later one does not follow from it.
-const born_time k_second{milliseconds{900'000}};
+const incarnation_start k_second{milliseconds{900'000}};
 
-worker_info born_at(born_time born)
+worker_info born_at(incarnation_start born)
 {
   worker_info info = scheduler_harness::worker("w1");
   info.born = born;
@@ -93,7 +93,7 @@
 BOOST_FIXTURE_TEST_CASE(numbers_of_ends_begin_anew, lives_harness)
 {
   const start_command before = run_listed();
-  answer_hold("w1", {}, {ended(5, before, run_end::failed)});
+  answer_hold("w1", {}, {ended(5, before, run_outcome::failed)});
   commit_and_step();
   BOOST_TEST_REQUIRE(starts.size() == 1U);
   clear();
@@ -107,7 +107,7 @@
                          [](const hold_command& each) { return each.acknowledged == 0; }));
   const start_command again = starts.back();
   answer_start(again, call_end::done);
-  answer_hold("w1", {}, {ended(1, again, run_end::done)});
+  answer_hold("w1", {}, {ended(1, again, run_outcome::done)});
   commit_and_step();
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
 }
--- a/Source/UnitTests/Scheduling/ZoneTest.cpp
+++ b/Source/UnitTests/Scheduling/ZoneTest.cpp
@@ -120,7 +120,7 @@
   const std::string here = "0123456789abcde0";
   const std::string there = "0123456789abcde1";
   const std::string anywhere = "0123456789abcde2";
-  owner.scheduler->set_earlier_end(owner.now + seconds{16});
+  owner.scheduler->set_earlier_owners_lease_end(owner.now + seconds{16});
   owner.scheduler->restore_claim(worker_id("w9"), {{"10.0.0.9", 80}, "b", false, {}}, owner.now);
   owner.scheduler->worker_entry(worker_in("w1", "a", 8000), owner.now);
   owner.scheduler->restore_job(owner.job(here, {owner.step_of(1)}), begun_in("a"), owner.now);
