--- a/Source/Core/Scheduling/Evacuator.cpp
+++ b/Source/Core/Scheduling/Evacuator.cpp
@@ -18,7 +18,7 @@
 {
   if (!m_state.may_act(now))
     return;
-  std::erase_if(m_reserved, [now](const auto& each) { return each.second <= now; });
+  std::erase_if(m_destinations, [now](const auto& each) { return each.second <= now; });
   for (const auto& [id, worker] : m_state.workers)
   {
     if (worker->info.draining && worker->present() && worker->claimed && !worker->suspect)
@@ -26,7 +26,8 @@
   }
 }
 
-// What would end in time anyway stays, and so does what would have to begin again from its start.
+// Runs that should end before the worker leaves stay, and so do runs that would have to begin again
+// from their start elsewhere.
 bool evacuator::worth_moving(const run_record& run, time_point now) const
 {
   const jobs::step_spec& step = run.spec();
@@ -37,43 +38,44 @@
   return step.checkpointing && run.begun + step.estimate > now + m_state.options.min_drain_time;
 }
 
-bool evacuator::too_many_away(const run_record& run) const
+bool evacuator::too_many_unavailable(const run_record& run) const
 {
   const step_record& step = run.job->step(run.place);
   if (!step.spec->limits_unavailable)
     return false;
-  std::uint32_t away = 0;
+  std::uint32_t unavailable = 0;
   for (const task_record& task : step.tasks)
   {
     if (task.phase != task_phase::done)
-      away += task.runs.empty() || task.runs.front()->phase == run_phase::stopping ? 1 : 0;
+      unavailable += task.runs.empty() || task.runs.front()->phase == run_phase::stopping ? 1 : 0;
   }
-  // Owners that share a job do not know how many of each other's tasks are away.
+  // Owners that share a job do not know how many of each other's tasks are unavailable, so each one
+  // uses its share of the limit.
   if (run.job->shared())
-    return away >= m_state.options.share.of_amount(step.spec->most_unavailable);
-  return away >= std::max(1U, step.spec->most_unavailable);
+    return unavailable >= m_state.options.share.of_amount(step.spec->most_unavailable);
+  return unavailable >= std::max(1U, step.spec->most_unavailable);
 }
 
 void evacuator::evacuate(worker_record& worker, time_point now)
 {
   for (const auto& [ref, run] : worker.runs)
   {
-    if (!worth_moving(*run, now) || too_many_away(*run))
+    if (!worth_moving(*run, now) || too_many_unavailable(*run))
       continue;
-    const worker_record* const target = m_placer.worker_for(*run->job, run->place, now);
-    if (target == nullptr)
+    const worker_record* const destination = m_placer.worker_for(*run->job, run->place, now);
+    if (destination == nullptr)
     {
       m_advice.want(*run->job, run->place.cycle, run->place.step, now);
       continue;
     }
-    if (!m_reserved.emplace(target->info.id, now + m_state.options.move_time).second)
+    if (!m_destinations.emplace(destination->info.id, now + m_state.options.move_time).second)
       continue;
     common::log_request("run_moved_off", ref.job,
                         {{"step", ref.place.step},
                          {"task", ref.place.index},
                          {"run", run->number},
                          {"worker", worker.info.id.value},
-                         {"room_at", target->info.id.value}});
+                         {"room_at", destination->info.id.value}});
     m_state.metrics.add(common::retry_reason::worker_leaving);
     m_state.request_stop(*run, now);
   }
--- a/Source/Core/Scheduling/Evacuator.h
+++ b/Source/Core/Scheduling/Evacuator.h
@@ -3,11 +3,11 @@
 
 #pragma once
 
-// Moves tasks off workers that are about to leave, as long as other workers have room for them.
+// Moves tasks off draining workers, as far as other workers have free capacity for them.
 //
-// A worker that drains serves on for a while, then everything on it dies. Tasks that last, and
-// tasks that go on from a checkpoint, lose little by being stopped and started elsewhere before
-// that.
+// A draining worker goes on running its tasks for a while, then leaves, and all its runs are lost.
+// Long-running tasks, and tasks that continue from a checkpoint, lose little by being stopped and
+// started on another worker before that.
 
 #include <map>
 
@@ -27,12 +27,13 @@
 private:
   void evacuate(worker_record& worker, time_point now);
   bool worth_moving(const run_record& run, time_point now) const;
-  bool too_many_away(const run_record& run) const;
+  // Whether the step's limit allows no further task to be made unavailable.
+  bool too_many_unavailable(const run_record& run) const;
 
   scheduler_state& m_state;
   advice_planner& m_advice;
   placer& m_placer;
-  // Workers that a task is about to move to, until it should have arrived there.
-  std::map<worker_id, time_point> m_reserved;
+  // Workers to which a task is being moved, with the time by which it should have begun there.
+  std::map<worker_id, time_point> m_destinations;
 };
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/JobRecord.cpp
+++ b/Source/Core/Scheduling/JobRecord.cpp
@@ -23,29 +23,29 @@
       cycle.steps[i].waiting = m_job.spec.steps[i].count;
     }
   }
-  set_times();
+  set_deadlines();
 }
 
 void job_record::set_policy(const jobs::queue_policy& policy)
 {
   m_policy = policy;
-  set_times();
+  set_deadlines();
 }
 
-void job_record::set_times()
+void job_record::set_deadlines()
 {
-  m_chains = jobs::chains_from(m_job.spec.steps);
+  m_critical_paths = jobs::chains_from(m_job.spec.steps);
   const duration allowed = jobs::latency_objective(m_policy, m_job.spec.steps);
   m_objective = m_accepted_at + allowed;
-  m_worthless = m_accepted_at + allowed * jobs::k_late_factor;
+  m_credit_end = m_accepted_at + allowed * jobs::k_late_factor;
 }
 
 job_prospect job_record::prospect(std::uint32_t step, time_point now) const
 {
-  const time_point end = now + m_chains[step];
+  const time_point end = now + m_critical_paths[step];
   if (end <= m_objective)
     return job_prospect::in_time;
-  return end <= m_worthless ? job_prospect::late : job_prospect::none;
+  return end <= m_credit_end ? job_prospect::late : job_prospect::none;
 }
 
 bool job_record::contains(const task_place& place) const
@@ -116,22 +116,22 @@
 
 void job_record::set_phase(const task_place& place, task_phase phase)
 {
-  step_record& in = step(place);
-  task_record& task = in.tasks[place.index];
+  step_record& record = step(place);
+  task_record& task = record.tasks[place.index];
   if (task.phase == phase)
     return;
-  in.waiting -= task.phase == task_phase::waiting ? 1 : 0;
-  in.done -= task.phase == task_phase::done ? 1 : 0;
-  in.waiting += phase == task_phase::waiting ? 1 : 0;
-  in.done += phase == task_phase::done ? 1 : 0;
+  record.waiting -= task.phase == task_phase::waiting ? 1 : 0;
+  record.done -= task.phase == task_phase::done ? 1 : 0;
+  record.waiting += phase == task_phase::waiting ? 1 : 0;
+  record.done += phase == task_phase::done ? 1 : 0;
   task.phase = phase;
 }
 
 jobs::job_progress job_record::progress() const
 {
   jobs::job_progress progress;
-  // The mark is written before the first start, and a later owner may read nothing newer: once
-  // callers have seen the job active, it must not be queued again.
+  // The mark is written before the first start, and a later owner may read nothing newer than that
+  // row. A job that callers have seen as active must not be shown as queued again.
   const bool active = m_state == jobs::job_state::queued && begin_marked(begin_mark::wanted);
   progress.state = active ? jobs::job_state::active : m_state;
   if (ended())
@@ -190,7 +190,8 @@
   {
     if (!contains(place))
       continue;
-    // A run that was announced, or lost with its worker then, may never have been started.
+    // A run that was announced, and may have been lost with its worker, may never have been
+    // started, so the crash history does not show that the job has begun.
     if (!history.failed_runs.empty() || !history.checkpoint.empty())
       set_known_begun();
     task_record& kept = task(place);
@@ -203,7 +204,7 @@
   }
 }
 
-void job_record::leave_to_others(const jobs::task_share& share)
+void job_record::exclude_other_shares(const jobs::task_share& share)
 {
   for (std::uint32_t c = 0; c < m_cycles.size(); ++c)
   {
--- a/Source/Core/Scheduling/JobRecord.h
+++ b/Source/Core/Scheduling/JobRecord.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// A job as its partition's owner holds it in memory: what was asked for, and each task's phase.
+// A job as its partition's owner keeps it in memory: the submitted specification and the phase of
+// each task.
 
 #include <cstdint>
 #include <optional>
@@ -21,28 +22,30 @@
 {
 struct run_record;
 
-// Whether the store keeps that something may be started.
+// Whether the store has a mark that something may be started.
 enum class begin_mark
 {
   none,
-  wanted,
-  on_its_way,
+  wanted,    // to be written by the next commit
+  in_flight, // part of a commit that is not confirmed yet
   written
 };
 
-// How often workers have been lost with the task in a way that counts against it.
+// How many losses of a worker count against the task: those for which it was blamed, and those
+// whose cause is unclear.
 std::size_t counted_losses(const jobs::crash_history& crashes);
-// How many of its starts may have been lost with their workers, whatever is known of the cause.
+// How many starts of the task may have been lost with their workers, whatever is known of the
+// cause.
 std::size_t lost_starts(const jobs::crash_history& crashes);
-// Whether it is tried apart from others.
+// Whether the task may crash its workers, so that it is tried apart from other suspected tasks.
 bool suspected(const jobs::crash_history& crashes);
 
 enum class task_phase
 {
   waiting,
-  active, // at least one run of it may be going on
+  active, // at least one run of the task may be going on
   done,
-  unaccounted // an earlier owner may have started it on a worker that has not been heard yet
+  unaccounted // an earlier owner may have started the task on a worker not heard yet
 };
 
 struct task_record
@@ -51,20 +54,23 @@
   run_number last_run = 0; // the highest number used
   std::vector<run_number> failed_runs;
   std::string checkpoint;
-  // A run of it was given up unheard. Another owner may have heard how it ended.
+  // A run of the task was given up without word from its worker. Another owner may have heard how
+  // that run ended.
   bool lost = false;
   jobs::crash_history crashes;
   begin_mark announced = begin_mark::none; // of the run that `crashes` announces
-  // The run by whose loss it is about to be given up, unless that turns out to be one of many.
+  // The run whose loss is about to have the task given up, unless it turns out to be one of many
+  // losses at that time.
   std::optional<run_number> pending_give_up_run;
-  // Since when it waits for a worker that is fit for its trial.
+  // Since when the task has waited for a worker that is fit for its trial.
   std::optional<time_point> waiting_for_trial_since;
-  // Since when a task that lasts is seen not to run for certain (see wait_report).
+  // Since when a long-running task has not been known for certain to run (see wait_report).
   std::optional<time_point> idle_since;
   std::vector<run_record*> runs;
 };
 
-// Which workers the queue's policy permits for a step, as far as it was asked.
+// The workers that the queue's policy permits for a step, as far as the admission service was
+// asked.
 struct step_permits
 {
   struct ticket
@@ -72,29 +78,32 @@
     std::string text;
     time_point until;
   };
-  boost::container::flat_map<worker_id, ticket> tickets; // of permitted workers; may be out of date
-  // Every worker asked about: the policy does not change.
+  boost::container::flat_map<worker_id, ticket> tickets; // by permitted worker; may have expired
+  // Whether the policy permits the worker, for each worker asked about. The policy does not change.
   boost::container::flat_map<worker_id, bool> permitted;
-  bool asking = false;
-  time_point ask_after{};
-  time_point last_advice_turn{}; // when it was last asked about, or there was no worker worth it
+  bool asking = false;    // a request for advice is in flight
+  time_point ask_after{}; // no request before this time
+  // When advice was last requested, or would have been if there had been a worker to ask about.
+  time_point last_advice_turn{};
 };
 
-// Where tasks of a step may be started, as far as later owners know or are about to.
+// Where tasks of a step may be started. This is written to the store before the first start, so
+// that later owners know on which workers they may find runs.
 struct step_begin_marks
 {
-  begin_mark mark = begin_mark::none;
-  std::string zone; // on its workers alone; empty: on any
-  // The same for all workers, where the zone turned out too small.
+  begin_mark mark = begin_mark::none; // for the workers of `zone`
+  std::string zone;                   // empty: all zones
+  // For the workers of all zones, once `zone` has turned out to be too small.
   begin_mark all_zones_mark = begin_mark::none;
 
   bool anywhere() const { return zone.empty() || all_zones_mark != begin_mark::none; }
-  // Whether a task may be meant for a worker of that zone, and whether it may be started there.
-  bool covers(const std::string& in) const { return anywhere() || in == zone; }
-  bool written_for(const std::string& in) const
+  // Whether a task may be placed on a worker of the zone, though perhaps not started there yet.
+  bool covers(const std::string& worker_zone) const { return anywhere() || worker_zone == zone; }
+  // Whether a task may be started on a worker of the zone.
+  bool written_for(const std::string& worker_zone) const
   {
     return all_zones_mark == begin_mark::written ||
-           (mark == begin_mark::written && (zone.empty() || in == zone));
+           (mark == begin_mark::written && (zone.empty() || worker_zone == zone));
   }
 };
 
@@ -107,7 +116,7 @@
   step_permits permits;
   step_begin_marks begun;
 
-  // Since when tasks of it are seen to wait though it is ready (see backlog).
+  // Since when tasks of the step have been seen waiting although the step is ready (see backlog).
   std::optional<time_point> waiting_since;
 
   bool complete() const { return done == tasks.size(); }
@@ -119,10 +128,11 @@
   std::vector<step_record> steps;
 };
 
+// The credit that a job can still earn.
 enum class job_prospect
 {
   in_time, // its full credit
-  late,    // a part
+  late,    // part of its credit
   none
 };
 
@@ -137,20 +147,23 @@
   void set_policy(const jobs::queue_policy& policy);
 
   jobs::job_state state() const { return m_state; }
-  // Whether a task is known to have begun: by a worker's answer or lists, or by an earlier owner.
+  // Whether a task is known to have begun, from a worker's answer or lists or from an earlier
+  // owner's record.
   bool known_begun() const { return m_known_begun; }
   void set_known_begun() { m_known_begun = true; }
-  // True of the first order of a start only, and not if a task had begun before this owner.
-  bool first_start() { return !std::exchange(m_start_ordered, true) && !m_known_begun; }
+  // Records that a start request is sent. True for the first one, unless a task of the job is
+  // already known to have begun.
+  bool first_start() { return !std::exchange(m_start_sent, true) && !m_known_begun; }
   bool ended() const { return jobs::is_final(m_state); }
   void set_state(jobs::job_state state) { m_state = state; }
 
-  // When the job should be complete to be worth its full credit, and until when it is worth some.
+  // When the job has to be complete to earn its full credit, and until when it can earn some.
   time_point objective() const { return m_objective; }
-  time_point worthless() const { return m_worthless; }
+  time_point credit_end() const { return m_credit_end; }
   time_point accepted_at() const { return m_accepted_at; }
-  // What a job can still earn if this step starts now.
-  milliseconds critical_path_from(std::uint32_t step) const { return m_chains[step]; }
+  // The longest chain of estimated work that begins with the step.
+  milliseconds critical_path_from(std::uint32_t step) const { return m_critical_paths[step]; }
+  // What the job can still earn if the step starts now.
   job_prospect prospect(std::uint32_t step, time_point now) const;
 
   std::vector<cycle_record>& cycles() { return m_cycles; }
@@ -160,45 +173,50 @@
   bool contains(const task_place& place) const;
   std::uint32_t waiting() const;
 
-  // Whether everything that the step depends on is done and its cycle is due.
+  // Whether the step's cycle is due and all steps that it depends on are complete.
   bool ready(std::uint32_t cycle, std::uint32_t step, jobs::wall_time wall) const;
   bool all_done() const;
   bool has_runs() const;
   // Whether a run of a suspected task is announced for that worker.
   bool has_suspect_on(const std::string& worker) const;
 
-  // Moves a task between phases and keeps the counts.
+  // Moves a task to another phase and updates the step's counts.
   void set_phase(const task_place& place, task_phase phase);
 
-  // What has to outlast this owner, and taking it over from an earlier one.
+  // The progress that is stored for later owners.
   jobs::job_progress progress() const;
+  // Restores progress stored by an earlier owner. Runs are numbered above `first_run`.
   void restore(const jobs::job_progress& progress, run_number first_run);
-  // Other partitions run what the share leaves out: it counts as done here.
-  void leave_to_others(const jobs::task_share& share);
+  // Counts the tasks that are not in the share as done, since other partitions run them.
+  void exclude_other_shares(const jobs::task_share& share);
+  // Whether the job's tasks are shared among all partitions.
   bool shared() const { return m_job.home == jobs::k_every_partition; }
-  // Every task that is not done of a step that has begun may have been started by an earlier owner.
+  // Marks the tasks that an earlier owner may have started as unaccounted: all waiting tasks of
+  // steps with a begin mark.
   void mark_unaccounted();
   void mark_unaccounted(const task_place& place);
-  // Those that still are have been given up unheard.
+  // Marks the tasks that are still unaccounted as lost: they were given up without word from their
+  // workers.
   void mark_unaccounted_lost();
-  // Moves the marks of all steps, and of announced runs, from one state to the next. A job with a
-  // written mark is active.
+  // Moves the marks of all steps and of announced runs from one state to another. A queued job with
+  // a written mark becomes active.
   void advance_begin_marks(begin_mark from, begin_mark to);
 
 private:
-  void set_times();
-  // Whether the mark of some step has come at least so far.
+  // Computes the deadlines from the job's queue policy.
+  void set_deadlines();
+  // Whether the mark of any step is in the given state or a later one.
   bool begin_marked(begin_mark least) const;
 
   jobs::accepted_job m_job;
   jobs::queue_policy m_policy;
   jobs::job_state m_state = jobs::job_state::queued;
   bool m_known_begun = false;
-  bool m_start_ordered = false;
+  bool m_start_sent = false;
   time_point m_accepted_at;
   time_point m_objective;
-  time_point m_worthless;
-  std::vector<milliseconds> m_chains; // of estimated work, from each step on
+  time_point m_credit_end;
+  std::vector<milliseconds> m_critical_paths; // by step, see critical_path_from
   std::vector<cycle_record> m_cycles;
 };
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/JobScheduler.cpp
+++ b/Source/Core/Scheduling/JobScheduler.cpp
@@ -17,8 +17,8 @@
 } // namespace
 
 job_scheduler::job_scheduler(const scheduler_options& options, run_number first_run,
-                             common::metrics& counts)
-    : m_state(options, counts),
+                             common::metrics& metrics)
+    : m_state(options, metrics),
       m_crashes(m_state),
       m_accounting(m_state, m_crashes),
       m_copies(m_state, m_accounting),
@@ -36,7 +36,7 @@
 
 void job_scheduler::set_policies(std::map<std::string, jobs::queue_policy> policies)
 {
-  // The last policy of a queue that is no longer configured holds for its accepted jobs.
+  // The last policy of a queue that is no longer configured stays in force for its accepted jobs.
   for (auto& [queue, policy] : policies)
     m_state.policies[queue] = policy;
   for (const std::string& id : m_state.open)
@@ -49,20 +49,20 @@
 
 const jobs::queue_policy& job_scheduler::policy_of(const std::string& queue) const
 {
-  static const jobs::queue_policy s_unknown;
+  static const jobs::queue_policy s_default_policy;
   const auto found = m_state.policies.find(queue);
-  return found == m_state.policies.end() ? s_unknown : found->second;
+  return found == m_state.policies.end() ? s_default_policy : found->second;
 }
 
 void job_scheduler::set_wall_clock(jobs::wall_time wall, time_point now)
 {
-  m_state.wall_ahead =
+  m_state.wall_clock_offset =
       wall.time_since_epoch() - std::chrono::duration_cast<milliseconds>(now.time_since_epoch());
 }
 
-void job_scheduler::set_request_times(duration patience, duration round_trip)
+void job_scheduler::set_request_times(duration timeout, duration round_trip)
 {
-  m_state.order_patience = patience;
+  m_state.order_patience = timeout;
   m_state.request_round_trip = round_trip;
 }
 
@@ -128,7 +128,7 @@
       now, now - std::chrono::duration_cast<duration>(m_state.wall(now) - job.accepted_at));
   auto record = std::make_unique<job_record>(job, policy_of(job.queue), accepted);
   if (record->shared())
-    record->leave_to_others(m_state.options.share);
+    record->exclude_other_shares(m_state.options.share);
   m_state.jobs[job.id] = std::move(record);
   m_state.open.insert(job.id);
   m_state.place_again = true;
@@ -208,18 +208,18 @@
 
 bool job_scheduler::has_changes(time_point now) const
 {
-  return !m_state.dirty.empty() || !m_state.released.empty() || ends_unwritten() ||
+  return !m_state.dirty.empty() || !m_state.released.empty() || has_uncommitted_ends() ||
          std::any_of(m_state.workers.begin(), m_state.workers.end(),
                      [this, now](const auto& each) { return claim_outdated(*each.second, now); });
 }
 
-bool job_scheduler::ends_unheard(const worker_record& worker, time_point now) const
+bool job_scheduler::wants_stated_end(const worker_record& worker, time_point now) const
 {
   if (worker.silent_for(m_state.options.close_claim_after, now))
     return true;
-  const duration patience =
+  const duration timeout =
       std::max(m_state.options.state_end_after, 2 * m_state.request_round_trip);
-  return !worker.claimed && worker.taken_over && now - *worker.taken_over >= patience &&
+  return !worker.claimed && worker.taken_over && now - *worker.taken_over >= timeout &&
          m_holder.unheard() <= m_state.options.max_early_stated_ends;
 }
 
@@ -227,26 +227,28 @@
 {
   if (worker.claim_sent)
     return false;
-  const bool silent = ends_unheard(worker, now);
-  // Nothing can be stated earlier than it is known: the doubted end is replaced by a later one.
+  const bool state_end = wants_stated_end(worker, now);
+  // A stated end that is ignored is replaced by a later one, once this owner knows one: nothing can
+  // be stated before it is known.
   if (worker.claim_doubted)
-    return worker.claimed || silent;
-  const bool end_kept = worker.claim && worker.claim->over;
+    return worker.claimed || state_end;
+  const bool end_stated = worker.claim && worker.claim->over;
   if (!worker.claimed)
-    return silent && (!end_kept || worker.lease_end < *worker.claim->over);
+    return state_end && (!end_stated || worker.lease_end < *worker.claim->over);
   const bool closed = worker.wants_closed_claim(m_state.options.close_claim_after, now);
   return !worker.claim || worker.claim->born != worker.born || worker.claim->closed != closed ||
-         end_kept != silent || (closed && worker.runs.size() < worker.claim->tasks.size());
+         end_stated != state_end || (closed && worker.runs.size() < worker.claim->tasks.size());
 }
 
 worker_claim job_scheduler::claim_of(const worker_record& worker, time_point now) const
 {
-  // When what runs on a silent worker is over is kept: otherwise each later owner would count that
-  // anew from its predecessor's latest renewal, and its tasks wait as long as owners are replaced.
-  const bool silent = ends_unheard(worker, now);
-  // What earlier owners have there is known to this one by their claim alone.
+  // The claim of a silent worker states by when all runs there will have ended. Otherwise each
+  // later owner would count the leases from its predecessor's latest renewal again, and the tasks
+  // would wait for as long as owners are replaced.
+  const bool state_end = wants_stated_end(worker, now);
+  // Until the worker has answered, only the earlier owner's claim tells what may run there.
   worker_claim claim = worker.claimed || !worker.claim ? worker_claim{} : *worker.claim;
-  if (silent)
+  if (state_end)
     claim.over = worker.lease_end;
   if (!worker.claimed && worker.claim)
     return claim;
@@ -263,7 +265,7 @@
   return claim;
 }
 
-bool job_scheduler::ends_unwritten() const
+bool job_scheduler::has_uncommitted_ends() const
 {
   return std::any_of(m_state.workers.begin(), m_state.workers.end(),
                      [](const auto& each) { return each.second->seen > each.second->durable; });
@@ -276,7 +278,7 @@
   {
     const std::string id = *m_state.dirty.begin();
     job_record& job = *m_state.jobs.at(id);
-    job.advance_begin_marks(begin_mark::wanted, begin_mark::on_its_way);
+    job.advance_begin_marks(begin_mark::wanted, begin_mark::in_flight);
     batch.rows[id] = jobs::to_row_text(job.progress());
     if (job.ended())
       m_ending.insert(id);
@@ -293,7 +295,8 @@
       batch.ends[id] = {worker->number, worker->seen};
     if (!claim_outdated(*worker, now))
       continue;
-    // A claim that returns follows its removal: one transaction does not tell which comes last.
+    // A claim that is added again after its removal goes into a later batch, since the writes of
+    // one transaction have no order.
     if (batch.size() >= most_rows || batch.releases.contains(id))
     {
       batch.complete = false;
@@ -320,14 +323,15 @@
   for (const auto& [id, read] : batch.ends)
   {
     worker_record* const worker = m_state.find_worker(id);
-    if (worker != nullptr && worker->number == read.life)
+    if (worker != nullptr && worker->number == read.incarnation)
       worker->durable = std::max(worker->durable, read.highest);
   }
   for (const auto& [id, claim] : batch.claims)
   {
     if (worker_record* const worker = m_state.find_worker(id))
     {
-      // Its leases may be extended again, and have not been meanwhile.
+      // The worker's leases may be extended again. They were not while its claim stated an end, so
+      // the worker is asked at once.
       worker->ask_at_once |= worker->end_stated() && !claim.over;
       worker->claim = claim;
       worker->claim_doubted = false;
@@ -337,23 +341,23 @@
   for (const auto& [id, text] : batch.rows)
   {
     if (job_record* const job = m_state.find_job(id))
-      job->advance_begin_marks(begin_mark::on_its_way, begin_mark::written);
+      job->advance_begin_marks(begin_mark::in_flight, begin_mark::written);
   }
   m_state.place_again = true;
-  forget_ended();
+  drop_ended_jobs();
 }
 
-void job_scheduler::drop_old_ids()
+void job_scheduler::drop_old_ended_jobs()
 {
-  while (!m_forgotten_since.empty() &&
-         m_now - m_forgotten_since.front().first > m_state.options.remember_ended)
+  while (!m_drop_times.empty() &&
+         m_last_tick - m_drop_times.front().first > m_state.options.remember_ended)
   {
-    m_forgotten.erase(m_forgotten_since.front().second);
-    m_forgotten_since.pop_front();
+    m_dropped_jobs.erase(m_drop_times.front().second);
+    m_drop_times.pop_front();
   }
 }
 
-void job_scheduler::forget_ended()
+void job_scheduler::drop_ended_jobs()
 {
   for (auto each = m_ending.begin(); each != m_ending.end();)
   {
@@ -364,12 +368,12 @@
       continue;
     }
     const bool shared = found->second->shared();
-    m_forgotten[*each] = found->second->state();
+    m_dropped_jobs[*each] = found->second->state();
     m_state.jobs.erase(found);
-    m_forgotten_since.emplace_back(m_now, *each);
-    // The others of a shared job still need its row.
-    if (!shared || m_forgotten[*each] == jobs::job_state::cancelled)
-      m_just_ended.push_back(*each);
+    m_drop_times.emplace_back(m_last_tick, *each);
+    // The other partitions still need the row of a shared job, unless the job was cancelled.
+    if (!shared || m_dropped_jobs[*each] == jobs::job_state::cancelled)
+      m_newly_ended.push_back(*each);
     each = m_ending.erase(each);
   }
 }
@@ -386,9 +390,9 @@
 
 duration job_scheduler::pass_spacing() const
 {
-  const duration by_workers = m_state.options.pass_spacing_per_worker * m_state.workers.size();
-  const duration by_steps = m_state.options.pass_spacing_per_step * m_placer.looked_at();
-  return std::max(m_state.options.min_pass_spacing, by_workers + by_steps);
+  const duration for_workers = m_state.options.pass_spacing_per_worker * m_state.workers.size();
+  const duration for_steps = m_state.options.pass_spacing_per_step * m_placer.looked_at();
+  return std::max(m_state.options.min_pass_spacing, for_workers + for_steps);
 }
 
 bool job_scheduler::survey_due()
@@ -400,13 +404,13 @@
 
 void job_scheduler::tick(time_point now)
 {
-  m_now = now;
-  drop_old_ids();
+  m_last_tick = now;
+  drop_old_ended_jobs();
   if (m_state.fenced)
     return;
   const bool survey = survey_due();
   m_state.starts.begin_pass(m_loop_lateness, now);
-  // Leases come before anything that may be put off.
+  // Leases are extended first, since everything else may be delayed.
   m_holder.tick(now);
   m_crashes.tick(now);
   m_copies.tick(now);
@@ -416,16 +420,17 @@
   m_placer.place(now, survey);
   if (survey)
     m_evacuator.tick(now);
-  // After what waits already, since the calls that can be under way are few.
+  // Comes after the steps that are waiting already, since few advice calls can be in flight at
+  // once.
   look_ahead(now);
   report_if_due(now);
 }
 
 void job_scheduler::report_if_due(time_point now)
 {
-  if (m_reported && now - *m_reported < k_report_period)
+  if (m_last_report && now - *m_last_report < k_report_period)
     return;
-  m_reported = now;
+  m_last_report = now;
   m_waits.update(now);
   publish(update_backlog(m_state, m_holder, m_waits, now), m_state.metrics);
 }
@@ -440,7 +445,7 @@
   const auto found = m_state.jobs.find(job);
   if (found != m_state.jobs.end())
     return found->second->state();
-  const auto ended = m_forgotten.find(job);
-  return ended == m_forgotten.end() ? std::nullopt : std::optional(ended->second);
+  const auto ended = m_dropped_jobs.find(job);
+  return ended == m_dropped_jobs.end() ? std::nullopt : std::optional(ended->second);
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/JobScheduler.h
+++ b/Source/Core/Scheduling/JobScheduler.h
@@ -3,9 +3,11 @@
 
 #pragma once
 
-// One partition's jobs and workers under one owner: told of events, it answers with commands.
+// Schedules the jobs of one partition on its workers, on behalf of the instance that owns the
+// partition: takes events and issues commands.
 //
-// No I/O, no clock, no randomness: the same events at the same times give the same commands.
+// The scheduler has no I/O, no clock and no randomness, so the same events at the same times give
+// the same commands.
 
 #include <deque>
 #include <map>
@@ -27,22 +29,24 @@
 
 namespace yardhill::scheduling
 {
-// What has to be written before the ends in it may be acknowledged.
+// Changes to be written to the store. The ends of runs that caused them may be acknowledged to
+// their workers only after that.
 struct commit_batch
 {
   std::map<std::string, std::string> rows; // progress by job
-  // The highest end of the worker's life of that number.
+  // The highest end whose effect is in the batch, for the given incarnation of the worker.
   struct read_ends
   {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     end_number highest = 0;
   };
   std::map<worker_id, read_ends> ends;
-  // Workers on which runs may be started once this is written (or may no longer), and workers on
-  // which none can be any more. A later owner asks all of them, with entries or without.
+  // Claims for workers on which runs may be started once the batch is written, or no longer may. A
+  // later owner asks all claimed workers, whether or not they have entries in the store.
   std::map<worker_id, worker_claim> claims;
+  // Workers on which no run can be any more, whose claims are removed.
   std::set<worker_id> releases;
-  // Nothing that there was to write when it was taken is left out.
+  // Whether the batch has everything that there was to write when it was taken.
   bool complete = false;
 
   std::size_t size() const { return rows.size() + claims.size() + releases.size(); }
@@ -52,7 +56,7 @@
 {
 public:
   // Runs are numbered above `first_run`.
-  job_scheduler(const scheduler_options& options, run_number first_run, common::metrics& counts);
+  job_scheduler(const scheduler_options& options, run_number first_run, common::metrics& metrics);
   job_scheduler(const job_scheduler&) = delete;
   job_scheduler& operator=(const job_scheduler&) = delete;
 
@@ -60,43 +64,47 @@
   // The time of day at `now`.
   void set_wall_clock(jobs::wall_time wall, time_point now);
   void set_advice_slots(const advice_slots& slots) { m_advice.set_slots(slots); }
-  // How long an order may be without an answer at present, and how long answers take.
-  void set_request_times(duration patience, duration round_trip);
-  // How late the event loop was at the latest.
+  // For calls to workers at present: the time after which one is reported as unanswered, and the
+  // time that answers take.
+  void set_request_times(duration timeout, duration round_trip);
+  // How late the event loop was when it was last measured.
   void set_loop_lateness(duration lateness) { m_loop_lateness = lateness; }
-  // Orders may be given until this time; the latest renewal of the ownership that the store has
-  // answered was asked for at `confirmed`.
+  // Commands may be sent until this time. The latest renewal of the ownership that the store has
+  // confirmed was sent at `confirmed`.
   void set_authority(time_point until, time_point confirmed);
-  // Another token of this owner, higher than those before; the first one comes before any order.
+  // This owner has a new token, higher than its earlier ones. The first token comes before any
+  // command.
   void token_given(fencing_token token);
-  // Nothing is started and no lease extended between these two; workers are held all the same.
+  // Between these two calls nothing is started and no lease is extended, but holds are still sent.
   void suspend_starts();
   void allow_starts();
-  // From now on nothing is started; leases are still extended, ends still taken in.
+  // From now on nothing is started. Leases are still extended, and ends still processed.
   void end_placing();
 
-  // The latest owner was of a version that states no ends in claims, nor takes them back: those
-  // that stand there are not believed, and replaced. Told before any claim is restored.
+  // The latest owner ran a version that neither states ends in claims nor removes them again. So
+  // the ends that claims state are ignored, and those claims are replaced. Must be called before
+  // any claim is restored.
   void ignore_stated_ends();
-  // A worker that an earlier owner had claimed.
+  // Adds a worker that an earlier owner had claimed.
   void restore_claim(const worker_id& id, const worker_claim& claim, time_point now);
   void worker_entry(const worker_info& info, time_point now);
-  // What its entry says now cannot be believed: nothing new is started there until it can. What
-  // runs there goes on, and its claim holds.
+  // The worker's entry is now invalid, so nothing new is started on the worker until the entry is
+  // valid again. Runs on the worker go on, and its claim stays in force.
   void worker_entry_invalid(const worker_id& id);
   void worker_entry_gone(const worker_id& id, time_point now);
 
-  // A job accepted under this owner.
+  // Adds a job that was accepted under this owner.
   void add_job(const jobs::accepted_job& job, time_point now);
-  // A job of an earlier owner, as far as it had come.
+  // Adds a job of an earlier owner with its stored progress.
   void restore_job(const jobs::accepted_job& job, const std::optional<jobs::job_progress>& progress,
                    time_point now);
-  // After this, nothing that an earlier owner ordered can be running on a worker not heard since.
-  // Told before any worker is.
+  // After this time, nothing that an earlier owner started can be running on a worker that has not
+  // been heard since. Must be called before any worker is added.
   void set_earlier_owners_lease_end(time_point end);
-  // It is over sooner than that.
+  // The leases that earlier owners granted end sooner than set before.
   void shorten_earlier_owners_leases(time_point end);
-  // All earlier jobs and known workers are here: their tasks wait until every worker is heard.
+  // All jobs of earlier owners and all known workers have been added. The tasks that may have been
+  // started wait until every worker on which they may be running is heard.
   void begin_accounting(time_point now);
   void cancel_job(const std::string& id, time_point now);
 
@@ -105,31 +113,34 @@
   void hold_answered(const hold_answer& answer, time_point now);
   void advice_answered(const advice_answer& answer, time_point now);
 
-  // What has changed since the last call; the caller writes it and says how that went.
-  // At most `most_rows` rows. With more jobs to write, the ends have to wait for a later batch.
+  // Returns the changes since the last call, at most `most_rows` rows. The caller writes them and
+  // reports the result with commit_done. If there are more jobs to write, the ends have to wait for
+  // a later batch.
   commit_batch take_commit(std::size_t most_rows, time_point now);
   void commit_done(const commit_batch& batch, bool written);
 
   void tick(time_point now);
   std::vector<command> take_commands();
-  // How long after one tick the next one is due, when something has happened.
+  // The time between two ticks while events arrive.
   duration pass_spacing() const;
-  // Waiting steps that the latest pass looked at.
+  // The number of waiting steps that the latest pass examined.
   std::size_t steps_looked_at() const { return m_placer.looked_at(); }
 
-  // Whether orders may be given: no other owner can have come long ago.
+  // Whether commands may be sent: no other owner can have taken the partition over long ago.
   bool may_act(time_point now) const { return m_state.may_act(now); }
-  // Jobs whose end has been written since the last call.
-  std::vector<std::string> take_ended_jobs() { return std::exchange(m_just_ended, {}); }
+  // Returns the jobs whose final state has been written since the last call.
+  std::vector<std::string> take_ended_jobs() { return std::exchange(m_newly_ended, {}); }
   bool fenced() const { return m_state.fenced; }
-  // Whether ends or final states wait to be written.
+  // Whether any changes wait to be written.
   bool has_changes(time_point now) const;
+  // Whether the job is in memory.
   bool knows(const std::string& job) const { return m_state.jobs.contains(job); }
-  // Also true for jobs that have ended under this owner and are no longer held in memory.
-  bool knew(const std::string& job) const { return knows(job) || m_forgotten.contains(job); }
-  // Whether the job's latest state waits for a commit.
+  // Also true for jobs that ended under this owner not long ago and are no longer in memory.
+  bool knew(const std::string& job) const { return knows(job) || m_dropped_jobs.contains(job); }
+  // Whether the job's latest state waits to be written.
   bool has_uncommitted_state(const std::string& job) const { return m_state.dirty.contains(job); }
-  // Also of jobs that have ended under this owner; the state of those is written.
+  // Also known for jobs that ended under this owner not long ago and are no longer in memory; their
+  // final state has been written.
   std::optional<jobs::job_state> state_of(const std::string& job) const;
   partition_load load() const { return load_of(m_state); }
   const wait_report& waits() const { return m_waits; }
@@ -139,18 +150,21 @@
   }
 
 private:
-  bool ends_unwritten() const;
-  // Whether its claim ought to say when all that runs there is over.
-  bool ends_unheard(const worker_record& worker, time_point now) const;
+  bool has_uncommitted_ends() const;
+  // Whether the worker's claim should state by when all runs there will have ended.
+  bool wants_stated_end(const worker_record& worker, time_point now) const;
+  // Whether another claim than the stored one has to be written.
   bool claim_outdated(const worker_record& worker, time_point now) const;
+  // The claim that should be stored for the worker now.
   worker_claim claim_of(const worker_record& worker, time_point now) const;
-  void drop_old_ids();
-  // Drops ended jobs that are written and of which nothing runs any more.
-  void forget_ended();
+  // Removes jobs from m_dropped_jobs that were dropped longer than remember_ended ago.
+  void drop_old_ended_jobs();
+  // Drops ended jobs from memory whose final state is written and that have no runs any more.
+  void drop_ended_jobs();
   void look_ahead(time_point now);
-  // Figures and lines about what waits, once a second.
+  // Publishes metrics and log lines about waiting tasks, once a second.
   void report_if_due(time_point now);
-  // Whether this pass looks for runs that time alone has made late or silent.
+  // Whether this pass also looks for runs that have become late or silent by the passing of time.
   bool survey_due();
   const jobs::queue_policy& policy_of(const std::string& queue) const;
 
@@ -166,13 +180,14 @@
   placer m_placer;
   evacuator m_evacuator;
   wait_report m_waits;
-  std::optional<time_point> m_reported;
-  std::set<std::string> m_ending; // ended jobs that are still held
-  // Ended under this owner not long ago, with when it was dropped; in order of time beside it.
-  std::map<std::string, jobs::job_state> m_forgotten;
-  std::deque<std::pair<time_point, std::string>> m_forgotten_since;
-  std::vector<std::string> m_just_ended;
-  time_point m_now{}; // of the latest tick
+  std::optional<time_point> m_last_report;
+  std::set<std::string> m_ending; // ended jobs that are still in memory
+  // The final states of jobs that ended under this owner and were dropped from memory not long ago.
+  std::map<std::string, jobs::job_state> m_dropped_jobs;
+  // When each of these was dropped, in order of time.
+  std::deque<std::pair<time_point, std::string>> m_drop_times;
+  std::vector<std::string> m_newly_ended;
+  time_point m_last_tick{};
   duration m_loop_lateness{0};
   unsigned m_passes = 0;
 };
--- a/Source/Core/Scheduling/SchedulerMessages.cpp
+++ b/Source/Core/Scheduling/SchedulerMessages.cpp
@@ -15,10 +15,10 @@
   return k_names[static_cast<std::size_t>(end)];
 }
 
-std::string_view to_text(run_outcome end)
+std::string_view to_text(run_outcome outcome)
 {
   static constexpr std::array<std::string_view, 6> k_names{"done",   "failed", "stopped",
                                                            "lapsed", "broken", "alone"};
-  return k_names[static_cast<std::size_t>(end)];
+  return k_names[static_cast<std::size_t>(outcome)];
 }
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/SchedulerMessages.h
+++ b/Source/Core/Scheduling/SchedulerMessages.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// What a partition's scheduler is told and what it wants done. Plain data: the clients carry the
-// commands out and report back with the answers.
+// The commands that a partition's scheduler issues, and the answers to them. Plain data: the
+// clients of workers and services carry the commands out and return the answers.
 
 #include <chrono>
 #include <cstdint>
@@ -28,15 +28,17 @@
 using jobs::task_place;
 using std::chrono::milliseconds;
 
-// Counts the starts of a task; rises over all owners. All members of a gang share one.
+// Numbers the starts of a task, in ascending order over successive owners. All members of a gang
+// that are started together share one number.
 using run_number = std::uint32_t;
-// Number of an end within a worker's life; rises from 1.
+// Numbers the ends of runs within one incarnation of a worker, in ascending order from 1.
 using end_number = std::uint64_t;
-// Of a partition's owner; workers obey no lower one than the highest they have seen.
+// Carried by the calls of a partition's owner. A worker rejects calls whose token is lower than the
+// highest one that it has seen.
 using fencing_token = std::uint64_t;
 
-// When a worker's life began, by its own time of day. It tells the lives of one id apart and orders
-// nothing: clocks jump.
+// When an incarnation of a worker began, by the worker's own time of day. It distinguishes the
+// incarnations under one id, but does not order them, since wall clocks may jump.
 using incarnation_start = std::chrono::time_point<std::chrono::system_clock, milliseconds>;
 
 struct task_ref
@@ -56,10 +58,10 @@
   auto operator<=>(const step_ref&) const = default;
 };
 
-// What is known of a worker from its entry in the store.
+// A worker as its entry in the store describes it.
 struct worker_info
 {
-  worker_id id; // several lives in a row may have it
+  worker_id id; // successive incarnations may share it
   std::optional<incarnation_start> born;
   common::endpoint address;
   std::string zone;
@@ -68,20 +70,21 @@
   std::vector<std::string> labels;
   common::resources capacity;
   bool draining = false;
-  std::optional<milliseconds> remaining; // at least this long until a draining worker leaves
+  std::optional<milliseconds> remaining; // the least time until a draining worker leaves
 };
 
-// What later owners have to know of a worker on which runs were or may be started.
+// What the store keeps for later owners of a worker on which runs were or may be started.
 struct worker_claim
 {
   common::endpoint address;
   std::string zone;            // empty: not known
-  bool closed = false;         // nothing but `tasks` may run there
-  std::vector<task_ref> tasks; // of a closed claim
-  // All that runs there has surely ended then. Whoever has it written extends no lease there and
-  // starts nothing until another claim is.
+  bool closed = false;         // no tasks but `tasks` may run on the worker
+  std::vector<task_ref> tasks; // only in a closed claim
+  // By this time every run on the worker has ended. The owner that writes it extends no lease on
+  // the worker and starts nothing there until it has written a claim without such a time.
   std::optional<time_point> over = std::nullopt;
-  std::optional<incarnation_start> born = std::nullopt; // of the worker's life that it is of
+  // The incarnation of the worker that the claim is for.
+  std::optional<incarnation_start> born = std::nullopt;
 };
 
 // A time on a worker's own clock, in milliseconds.
@@ -109,14 +112,15 @@
   fencing_token token = 0;
 };
 
-// Extends the lease of all that runs there and asks for news.
+// Extends the leases of all runs on the worker and asks for updates.
 struct hold_command
 {
   worker_id worker;
   common::endpoint address;
-  end_number acknowledged = 0;
-  std::optional<worker_clock_time> lease_end; // none: the worker's clock is not known yet
-  milliseconds wait{0};
+  end_number acknowledged = 0; // the worker may forget ends up to this one
+  // None: no lease is extended, for instance because the worker's clock is not known yet.
+  std::optional<worker_clock_time> lease_end;
+  milliseconds wait{0}; // how long the worker may wait for updates before it answers
   fencing_token token = 0;
 };
 
@@ -134,40 +138,42 @@
 {
   step_ref step;
   std::vector<worker_id> workers;
-  milliseconds expected{0}; // how long the service will take for this call
+  milliseconds expected{0}; // time that the service will take for this call
 };
 
 using command =
     std::variant<start_command, stop_command, hold_command, pace_command, advice_command>;
 
-// How many calls for advice may be under way at once: the service takes those of one instance in
-// turn, so more would only stand in line. Short and long calls are kept apart.
+// How many advice calls may be in flight at once. The service handles the calls of one instance one
+// after the other, so further ones would only be queued there. Short and long calls have separate
+// limits.
 struct advice_slots
 {
   std::size_t short_calls = 1;
   std::size_t long_calls = 1;
 };
 
-// The sites' short calls take 20 to 40 ms, the long ones 400 and more.
+// Advice calls that take at least this long count as long. The sites' short calls take 20 to 40 ms,
+// the long ones 400 ms and more.
 inline constexpr milliseconds k_long_advice_threshold{100};
 
 enum class call_end
 {
   done,
   fenced,   // the worker has seen a higher token
-  outdated, // the run's number is not above one that ended there
-  too_late, // it arrived after the lease's end that it carried
-  no_room,
+  outdated, // a run of the task with this or a higher number has ended on the worker
+  too_late, // the call arrived after the end of the lease that it carried
+  no_room,  // not enough free capacity
   bad_ticket,
-  other_incarnation, // another worker lives at that address: the one meant is gone
-  unhealthy,         // refused without having done anything
+  other_incarnation, // another worker answers at the address: the one meant is gone
+  unhealthy,         // refused without any effect
   rejected,          // the call was malformed
-  unanswered         // may have been carried out, or may be later
+  unanswered         // the call may have been carried out, or may still be
 };
 
 std::string_view to_text(call_end end);
 
-// `token` and `sent` of an answer are those of its call.
+// In each answer, `token` and `sent` are those of its call.
 struct start_answer
 {
   worker_id worker;
@@ -194,8 +200,9 @@
   task_ref task;
   run_number run = 0;
   std::string checkpoint;
-  std::uint32_t percent = 0; // done, or for a serving task how far it is at work
-  std::int64_t load = 0;     // serving: its tail in ms; else the processor share in use, in millis
+  std::uint32_t percent = 0; // progress; of a serving task, how busy it is
+  // Of a serving task, its tail latency in ms; else the processor share in use, in thousandths.
+  std::int64_t load = 0;
 };
 
 enum class run_outcome
@@ -203,12 +210,12 @@
   done,
   failed,
   stopped,
-  lapsed, // its lease ended
+  lapsed, // its lease expired
   broken, // another member of its gang ended
-  alone   // it waited in vain for the others of its gang
+  alone   // other members of its gang did not start in time
 };
 
-std::string_view to_text(run_outcome end);
+std::string_view to_text(run_outcome outcome);
 
 struct listed_end
 {
@@ -224,14 +231,14 @@
   worker_id worker;
   call_end end = call_end::unanswered;
   std::optional<worker_clock_time> clock;
-  end_number acknowledged = 0; // as it was sent
+  end_number acknowledged = 0; // as sent with the hold
   std::vector<listed_run> running;
   std::vector<listed_end> ended;
   time_point sent;
   fencing_token token = 0;
-  // The call was told as unanswered before this answer came.
+  // The call had been reported as unanswered before this answer came.
   bool late = false;
-  std::optional<incarnation_start> born = std::nullopt; // of the life that has answered
+  std::optional<incarnation_start> born = std::nullopt; // of the incarnation that answered
 };
 
 struct admission_ticket
@@ -246,7 +253,7 @@
   std::vector<worker_id> asked;
   bool answered = false;
   std::vector<admission_ticket> permitted;
-  milliseconds valid{0};
+  milliseconds valid{0}; // lifetime of the tickets
   time_point received;
 };
 } // namespace yardhill::scheduling
--- a/Source/Core/Scheduling/SchedulerState.cpp
+++ b/Source/Core/Scheduling/SchedulerState.cpp
@@ -24,11 +24,11 @@
 
 run_record* scheduler_state::find_run(const worker_id& worker, const task_ref& task, run_number run)
 {
-  worker_record* const on = find_worker(worker);
-  if (on == nullptr)
+  worker_record* const record = find_worker(worker);
+  if (record == nullptr)
     return nullptr;
-  const auto found = on->runs.find(task);
-  if (found == on->runs.end() || found->second->number != run)
+  const auto found = record->runs.find(task);
+  if (found == record->runs.end() || found->second->number != run)
     return nullptr;
   return found->second.get();
 }
@@ -44,7 +44,7 @@
   }
   zone_silence& silence = zone_silences[worker.info.zone];
   silence.latest = now;
-  if (++silence.orders == options.unanswered_to_leave_zone)
+  if (++silence.unanswered == options.unanswered_to_leave_zone)
     common::log_process("zone_silent", {{"zone", worker.info.zone}});
 }
 
@@ -62,8 +62,9 @@
   return worker.clock_at(now) + std::chrono::duration_cast<milliseconds>(options.task_lease);
 }
 
-// Of a task that may run in copies, one may be done while the start of another is on its way: a
-// worker without a longer lease turns such a start away, and the next hold extends the lease.
+// If a task may run in copies, one run may be done while the start of another is in flight. Such a
+// start therefore carries a short lease: if it arrives late, the worker rejects it, unless a hold
+// has granted the worker a longer lease. The next hold extends the lease.
 worker_clock_time scheduler_state::start_lease_end(const run_record& run, time_point now) const
 {
   if (!run.spec().speculative)
@@ -79,7 +80,7 @@
     return false;
   const auto silence = zone_silences.find(worker.info.zone);
   return silence == zone_silences.end() ||
-         silence->second.orders < options.unanswered_to_leave_zone ||
+         silence->second.unanswered < options.unanswered_to_leave_zone ||
          now - silence->second.latest > options.zone_retry;
 }
 
@@ -93,7 +94,8 @@
 jobs::wall_time scheduler_state::wall(time_point now) const
 {
   return jobs::wall_time(
-      std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()) + wall_ahead);
+      std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()) +
+      wall_clock_offset);
 }
 
 void scheduler_state::request_begin_mark(const job_record& job, step_record& step,
@@ -169,15 +171,15 @@
                                        run.number, run.worker->token});
 }
 
-void scheduler_state::end_job(job_record& job, jobs::job_state how, time_point now)
+void scheduler_state::end_job(job_record& job, jobs::job_state final_state, time_point now)
 {
   if (job.ended())
     return;
-  job.set_state(how);
+  job.set_state(final_state);
   mark_dirty(job);
   open.erase(job.id());
   common::log_request("job_ended", job.id(),
-                      {{"state", jobs::to_text(how)},
+                      {{"state", jobs::to_text(final_state)},
                        {"queue", job.accepted().queue},
                        {"after_ms", now - job.accepted_at()},
                        {"before_objective_ms", job.objective() - now}});
@@ -215,16 +217,16 @@
   if (worker.token_outdated)
     return;
   worker.token = newest_token;
-  // A hold that waits there bears the earlier token, so its lists will not be believed.
+  // A hold that is waiting at the worker carries the earlier token, so its lists will be ignored.
   worker.ask_at_once |= !worker.suspect;
 }
 
-// This owner has given the worker a newer token itself, if the call's was not the latest one: such
-// a call came too late, and nobody else is about.
+// If the call's token was not the latest one for this worker, this owner has given the worker a
+// newer one itself: the call was late, which does not show that there is another owner.
 void scheduler_state::record_fenced_reply(const worker_id& worker, fencing_token token)
 {
-  const worker_record* const known = find_worker(worker);
-  fenced |= token >= (known == nullptr ? newest_token : known->token);
+  const worker_record* const record = find_worker(worker);
+  fenced |= token >= (record == nullptr ? newest_token : record->token);
 }
 
 void scheduler_state::remove_lost_runs(worker_record& worker, lost_runs which, const char* why)
--- a/Source/Core/Scheduling/SchedulerState.h
+++ b/Source/Core/Scheduling/SchedulerState.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// What the parts of a partition's scheduler share: jobs, workers, commands to be carried out.
+// The state that the components of a partition's scheduler share: jobs, workers, and commands that
+// wait to be carried out.
 
 #include <map>
 #include <memory>
@@ -26,8 +27,8 @@
 {
 struct scheduler_state
 {
-  scheduler_state(const scheduler_options& given, common::metrics& counts)
-      : options(given), metrics(counts), starts(given.starts)
+  scheduler_state(const scheduler_options& initial_options, common::metrics& shared_metrics)
+      : options(initial_options), metrics(shared_metrics), starts(initial_options.starts)
   {
   }
 
@@ -37,103 +38,108 @@
   start_outlook outlook;
   runtime_model runtimes;
   std::unordered_map<std::string, std::unique_ptr<job_record>> jobs;
-  // Every pass walks them, and few come or go.
+  // A flat map, since every pass iterates over all workers, and few are added or removed.
   boost::container::flat_map<worker_id, std::unique_ptr<worker_record>> workers;
   std::map<std::string, jobs::queue_policy> policies; // by queue
   std::vector<command> commands;
-  std::set<std::string> dirty;  // jobs whose row has to be written
+  std::set<std::string> dirty;  // jobs whose rows have to be written
   std::set<std::string> open;   // jobs that have not ended
-  std::set<worker_id> released; // claimed workers that are gone, to be written
-  // Until when this owner may order anything; it is extended by the store's word.
+  std::set<worker_id> released; // workers that are gone and whose claims have to be removed
+  // Until when this owner may send commands; extended by each of its writes that the store
+  // confirms.
   time_point authority_end{};
   // Whether anything may be started or a lease extended: not before the first renewal is written,
-  // since a successor takes an owner that never renewed for one that never gave orders.
+  // since a successor assumes that an owner that never renewed has done neither.
   bool starts_allowed = true;
-  bool stated_ends_ignored = false; // those that the claims of earlier owners say
-  bool placing_ended = false;       // the partition is being given back
-  time_point confirmed{};           // when the latest renewal was asked for
-  time_point
-      earlier_owners_lease_end{}; // of what earlier owners ordered on workers not heard since
-  bool fenced = false;            // a worker obeys a later owner
+  bool stated_ends_ignored = false; // of those that earlier owners' claims state
+  bool placing_ended = false;       // the partition is being released
+  time_point confirmed{};           // when the latest confirmed renewal was sent
+  // By then every run has ended that earlier owners started on workers not heard since.
+  time_point earlier_owners_lease_end{};
+  bool fenced = false;            // a worker has seen a later owner's token
   fencing_token newest_token = 0; // of this owner
-  std::uint64_t lives = 0;        // of workers, counted
-  // Of orders at present: how long one is under way before it is told as unanswered, and how long
-  // answers take.
+  std::uint64_t lives = 0;        // counts the incarnations of all workers
+  // For calls to workers at present: the time after which one is reported as unanswered, and the
+  // time that answers take.
   duration order_patience{};
   duration request_round_trip{};
-  bool place_again = true;
-  // Orders in a row that no worker of the zone has answered.
+  bool place_again = true; // something has changed that may let a waiting task be placed
+  // Start and stop requests in a row that no worker of the zone has answered.
   struct zone_silence
   {
-    unsigned orders = 0;
-    time_point latest{};
+    unsigned unanswered = 0;
+    time_point latest{}; // when the latest of them was given up
   };
   std::map<std::string, zone_silence> zone_silences;
-  // Time of day less the steady clock, for timed jobs.
-  std::chrono::milliseconds wall_ahead{0};
-  // Numbers of runs begin above this: an earlier owner may have used any up to it.
+  // Time of day minus the steady clock, for timed jobs.
+  std::chrono::milliseconds wall_clock_offset{0};
+  // Runs are numbered above this, since earlier owners may have used any number up to it.
   run_number first_run = 0;
 
   job_record* find_job(const std::string& id);
   worker_record* find_worker(const worker_id& id);
-  // Whether the run takes longer than sound ones do.
+  // Whether the run takes longer than sound runs of its kind do (see runtime_model).
   bool overdue(const run_record& run, time_point now) const;
   run_record* find_run(const worker_id& worker, const task_ref& task, run_number run);
   jobs::wall_time wall(time_point now) const;
   bool may_act(time_point now) const { return now < authority_end && !fenced; }
-  // Whether no other owner can have come since a moment ago.
+  // Whether the ownership was confirmed so recently that no other owner can have taken over by now.
   bool ownership_recently_confirmed(time_point now) const
   {
     return now - confirmed < options.max_renewal_age;
   }
-  // Whether the task may not be started again before the store has confirmed the ownership anew.
+  // Whether the task must not be started again before the store has confirmed the ownership again.
   bool awaits_renewal(const task_record& task, time_point now) const
   {
     return task.lost && !ownership_recently_confirmed(now);
   }
-  // Whether tasks may be started at all.
+  // Whether tasks may be placed and started at all.
   bool may_place(time_point now) const { return may_act(now) && starts_allowed && !placing_ended; }
 
-  // An order without an answer is sent again after this time. While answers are slow, a copy most
-  // likely adds to what they wait for, so the time doubles with each (RFC 6298, section 5.5).
+  // A start or stop request without an answer is sent again after this time. While answers are
+  // slow, a copy most likely adds to the load that delays them, so the time doubles with each copy
+  // (RFC 6298, section 5.5).
   duration request_retry(unsigned sends) const;
-  // The lease that a copy of the run's start gives if it is sent now.
+  // The end of the lease that a copy of the run's start grants if it is sent now.
   worker_clock_time start_lease_end(const run_record& run, time_point now) const;
-  // The lease of everything that is held now ends at this worker time.
+  // The end of the lease, on the worker's clock, that a start or hold sent now may grant. Moves the
+  // end that is recorded for the worker accordingly.
   worker_clock_time extend_worker_lease(worker_record& worker, time_point now) const;
-  // Counts an order's outcome for its worker and for the worker's zone.
+  // Records for the worker and its zone whether a start or stop request was answered.
   void note_order(worker_record& worker, bool answered, time_point now);
-  // The worker was heard, so its zone is not cut off from here.
+  // The worker was heard, so its zone is reachable from here.
   void clear_zone_silence(const worker_record& worker) { zone_silences.erase(worker.info.zone); }
-  // Whether anything new may be given to the worker now, as far as its health goes.
+  // Whether the state of the worker and its zone allows starts on the worker now.
   bool usable(const worker_record& worker, time_point now) const;
   void mark_dirty(const job_record& job) { dirty.insert(job.id()); }
-  // Has it written that tasks of the step may be started in the zone (empty: anywhere).
+  // Has the store record that tasks of the step may be started in the zone (empty: in any zone).
   void request_begin_mark(const job_record& job, step_record& step, const std::string& zone);
-  // The same for all workers, since the step's zone is too small.
+  // The same for the workers of all zones, since the step's zone is too small.
   void request_begin_mark_in_all_zones(const job_record& job, step_record& step);
-  // Adds a run that takes room from now on.
+  // Adds a run, which takes its resources from the worker's free capacity.
   run_record& add_run(job_record& job, const task_place& place, run_number number,
                       worker_record& worker, time_point now);
-  // The run has ended or never was: its room is free, its task waits again if nothing else of it
-  // runs and it is not done.
+  // The run has ended or never began: its resources are released, and its task waits again unless
+  // it is done or has another run.
   void remove_run(run_record& run);
+  // Sends a stop request for the run, unless one was sent just before.
   void request_stop(run_record& run, time_point now);
-  // The job has ended as `how`: whatever of it runs is stopped.
-  void end_job(job_record& job, jobs::job_state how, time_point now);
-  // No ticket or permission of before says anything of the worker's present life.
+  // The job has ended in the given state. All its runs are stopped.
+  void end_job(job_record& job, jobs::job_state final_state, time_point now);
+  // Drops all tickets and permissions for the worker, which do not hold for its new incarnation.
   void drop_tickets(const worker_id& worker);
-  // A hold had no answer and may be carried out later, even by the worker's next life, which would
-  // forget ends of its own by the numbers in it. What is sent from now on bears a higher token as
-  // soon as there is one: a life that has seen that does nothing of the hold any more.
+  // Gives the worker a higher token as soon as this owner has one. Called when a hold was not
+  // answered: the hold may still be carried out later, even by the worker's next incarnation, which
+  // would forget ends of its own that have the numbers acknowledged in the hold. An incarnation
+  // that has seen the higher token rejects the hold.
   void supersede_token(worker_record& worker) const;
-  // A worker answered with `fence`: it has seen a higher token than the call's.
+  // A worker rejected a call because it has seen a higher token than the call's.
   void record_fenced_reply(const worker_id& worker, fencing_token token);
-  // Which of a worker's runs are lost with its life.
+  // Which of a worker's runs are lost with its incarnation.
   enum class lost_runs
   {
     all,
-    surely_begun // not those whose start the next life under the same id may still carry out
+    surely_begun // not those whose start the next incarnation may still carry out
   };
   void remove_lost_runs(worker_record& worker, lost_runs which, const char* why);
 };
--- a/Source/Core/Scheduling/TakeoverAccounting.cpp
+++ b/Source/Core/Scheduling/TakeoverAccounting.cpp
@@ -17,40 +17,41 @@
 void takeover_accounting::expect_worker(const worker_id& id, const worker_claim& claim)
 {
   if (claim.closed)
-    m_listed[id] = claim.tasks;
+    m_closed_claim_tasks[id] = claim.tasks;
   else
-    m_unheard[id] = claim.zone;
+    m_unheard_zones[id] = claim.zone;
 }
 
 void takeover_accounting::life_ended(const worker_id& id, time_point now)
 {
   m_lost_workers[id] = crash_watch::earlier_worker::ended;
-  note_lost_with(id, now);
+  record_losses_of(id, now);
 }
 
-// The worker's claim goes, or names its next life, as soon as that is written. So what it tells
-// goes into the jobs' rows first: a later owner reads nothing else of it.
-void takeover_accounting::note_lost_with(const worker_id& id, time_point now)
+// The worker's claim is about to be removed from the store or replaced by one for its next
+// incarnation. The possible losses are recorded in the jobs' rows before, since nothing else tells
+// a later owner of them.
+void takeover_accounting::record_losses_of(const worker_id& id, time_point now)
 {
-  const auto listed = m_listed.find(id);
-  if (listed != m_listed.end())
+  const auto listed = m_closed_claim_tasks.find(id);
+  if (listed != m_closed_claim_tasks.end())
   {
     for (const task_ref& task : listed->second)
     {
       if (job_record* const job = m_state.find_job(task.job))
-        note_lost(*job, task.place, now);
+        record_possible_loss(*job, task.place, now);
     }
     return;
   }
-  const auto unheard = m_unheard.find(id);
-  if (unheard == m_unheard.end())
+  const auto unheard = m_unheard_zones.find(id);
+  if (unheard == m_unheard_zones.end())
     return;
   for (const std::string& job : m_state.open)
-    note_lost_in_zone(*m_state.jobs.at(job), unheard->second, now);
+    record_losses_in_zone(*m_state.jobs.at(job), unheard->second, now);
 }
 
-void takeover_accounting::note_lost_in_zone(job_record& job, const std::string& zone,
-                                            time_point now)
+void takeover_accounting::record_losses_in_zone(job_record& job, const std::string& zone,
+                                                time_point now)
 {
   for (std::uint32_t c = 0; c < job.cycles().size(); ++c)
   {
@@ -60,12 +61,13 @@
       if (!zone.empty() && !step.begun.covers(zone))
         continue;
       for (std::uint32_t i = 0; i < step.tasks.size(); ++i)
-        note_lost(job, {c, s, i}, now);
+        record_possible_loss(job, {c, s, i}, now);
     }
   }
 }
 
-void takeover_accounting::note_lost(job_record& job, const task_place& place, time_point now)
+void takeover_accounting::record_possible_loss(job_record& job, const task_place& place,
+                                               time_point now)
 {
   if (!job.contains(place) || job.task(place).phase != task_phase::unaccounted)
     return;
@@ -77,13 +79,13 @@
 
 void takeover_accounting::begin(time_point now)
 {
-  m_under_way = true;
+  m_active = true;
   for (const auto& [id, worker] : m_state.workers)
   {
     if (!worker->claimed && !worker->claim)
-      m_unheard[id] = worker->info.zone;
+      m_unheard_zones[id] = worker->info.zone;
   }
-  for (const auto& [id, tasks] : m_listed)
+  for (const auto& [id, tasks] : m_closed_claim_tasks)
   {
     for (const task_ref& task : tasks)
     {
@@ -95,66 +97,68 @@
   release_accounted("at the takeover", now);
 }
 
-// What still may have run on workers that were never heard, and whose leases are over, counts as
-// lost unheard: a later owner may have heard of its end.
+// Tasks that may have run on workers that were not heard before their leases expired are marked as
+// lost, since a later owner may have heard how their runs ended.
 void takeover_accounting::expire_unheard_workers(time_point now)
 {
-  const auto is_over = [this, now](const auto& each)
+  const auto is_expired = [this, now](const auto& each)
   {
     const worker_record* const worker = m_state.find_worker(each.first);
-    const bool over = worker == nullptr || now >= worker->lease_end;
-    if (over && m_lost_workers.emplace(each.first, crash_watch::earlier_worker::unheard).second)
-      note_lost_with(each.first, now);
-    return over;
+    const bool expired = worker == nullptr || now >= worker->lease_end;
+    if (expired && m_lost_workers.emplace(each.first, crash_watch::earlier_worker::unheard).second)
+      record_losses_of(each.first, now);
+    return expired;
   };
-  const std::size_t given_up = std::erase_if(m_unheard, is_over) + std::erase_if(m_listed, is_over);
-  if (given_up == 0)
+  const std::size_t expired_workers =
+      std::erase_if(m_unheard_zones, is_expired) + std::erase_if(m_closed_claim_tasks, is_expired);
+  if (expired_workers == 0)
     return;
   for (const std::string& id : m_state.open)
     m_state.jobs.at(id)->mark_unaccounted_lost();
-  release_accounted("leases of earlier owners are over", now);
+  release_accounted("leases of earlier owners have expired", now);
 }
 
 void takeover_accounting::on_worker_reported(const worker_id& id, time_point now)
 {
-  if (m_listed.erase(id) > 0 && m_under_way)
-    release_accounted("listed tasks are told", now);
-  const auto unheard = m_unheard.extract(id);
-  if (unheard.empty() || !m_under_way)
+  if (m_closed_claim_tasks.erase(id) > 0 && m_active)
+    release_accounted("a worker with a closed claim has reported", now);
+  const auto unheard = m_unheard_zones.extract(id);
+  if (unheard.empty() || !m_active)
     return;
-  const bool zone_open =
-      std::any_of(m_unheard.begin(), m_unheard.end(),
+  const bool zone_has_unheard =
+      std::any_of(m_unheard_zones.begin(), m_unheard_zones.end(),
                   [&unheard](const auto& each) { return each.second == unheard.mapped(); });
-  if (!zone_open)
-    release_accounted("workers were heard", now);
+  if (!zone_has_unheard)
+    release_accounted("all workers of a zone have reported", now);
 }
 
-// Tasks that may run on no worker that is still to be heard.
-void takeover_accounting::release_accounted(const char* why, time_point now)
+// Lets tasks wait for placement again that cannot be running on any worker not heard yet.
+void takeover_accounting::release_accounted(const char* reason, time_point now)
 {
-  std::set<task_ref> held;
-  for (const auto& [id, tasks] : m_listed)
-    held.insert(tasks.begin(), tasks.end());
+  std::set<task_ref> claimed_tasks;
+  for (const auto& [id, tasks] : m_closed_claim_tasks)
+    claimed_tasks.insert(tasks.begin(), tasks.end());
   std::size_t released = 0;
-  // A job may end by what is released.
+  // A copy, since a job may end when its tasks are released.
   const std::set<std::string> open = m_state.open;
   for (const std::string& id : open)
-    released += release_tasks(*m_state.jobs.at(id), held, now);
-  m_under_way = !m_listed.empty() || !m_unheard.empty();
+    released += release_tasks(*m_state.jobs.at(id), claimed_tasks, now);
+  m_active = !m_closed_claim_tasks.empty() || !m_unheard_zones.empty();
   m_state.place_again = true;
-  common::log_process(
-      "tasks_accounted",
-      {{"why", why}, {"released", released}, {"unheard", m_unheard.size()}, {"held", held.size()}});
+  common::log_process("tasks_accounted", {{"why", reason},
+                                          {"released", released},
+                                          {"unheard", m_unheard_zones.size()},
+                                          {"held", claimed_tasks.size()}});
 }
 
 bool takeover_accounting::earlier_start_possible(const job_record& job,
                                                  const task_place& place) const
 {
-  if (!m_under_way)
+  if (!m_active)
     return false;
   const task_ref task{job.id(), place};
   return blocked(job.cycles()[place.cycle].steps[place.step]) ||
-         std::any_of(m_listed.begin(), m_listed.end(),
+         std::any_of(m_closed_claim_tasks.begin(), m_closed_claim_tasks.end(),
                      [&task](const auto& each)
                      {
                        const std::vector<task_ref>& tasks = each.second;
@@ -167,13 +171,13 @@
 {
   std::vector<worker_id> holders;
   const step_record& step = job.cycles()[place.cycle].steps[place.step];
-  for (const auto& [id, zone] : m_unheard)
+  for (const auto& [id, zone] : m_unheard_zones)
   {
     if (may_run_in(step, zone))
       holders.push_back(id);
   }
   const task_ref task{job.id(), place};
-  for (const auto& [id, tasks] : m_listed)
+  for (const auto& [id, tasks] : m_closed_claim_tasks)
   {
     if (std::find(tasks.begin(), tasks.end(), task) != tasks.end())
       holders.push_back(id);
@@ -183,14 +187,13 @@
 
 bool takeover_accounting::awaits_report_of(const worker_id& id) const
 {
-  return m_under_way && (m_unheard.contains(id) || m_listed.contains(id));
+  return m_active && (m_unheard_zones.contains(id) || m_closed_claim_tasks.contains(id));
 }
 
-// For each task of a worker that does not answer: why it waits, and how long at most.
 void takeover_accounting::log_held_tasks(const worker_record& worker, time_point now) const
 {
-  const auto listed = m_listed.find(worker.info.id);
-  if (!m_under_way || listed == m_listed.end())
+  const auto listed = m_closed_claim_tasks.find(worker.info.id);
+  if (!m_active || listed == m_closed_claim_tasks.end())
     return;
   for (const task_ref& task : listed->second)
     common::log_request("task_held", task.job,
@@ -201,7 +204,8 @@
                          {"lease_left_ms", worker.lease_end - now}});
 }
 
-crash_watch::earlier_worker takeover_accounting::fate_of(const std::string& worker) const
+crash_watch::earlier_worker
+takeover_accounting::earlier_worker_state(const std::string& worker) const
 {
   const auto found = m_lost_workers.find(worker_id(worker));
   return found == m_lost_workers.end() ? crash_watch::earlier_worker::heard : found->second;
@@ -214,11 +218,12 @@
 
 bool takeover_accounting::blocked(const step_record& step) const
 {
-  return std::any_of(m_unheard.begin(), m_unheard.end(),
+  return std::any_of(m_unheard_zones.begin(), m_unheard_zones.end(),
                      [&step](const auto& each) { return may_run_in(step, each.second); });
 }
 
-std::size_t takeover_accounting::release_tasks(job_record& job, const std::set<task_ref>& held,
+std::size_t takeover_accounting::release_tasks(job_record& job,
+                                               const std::set<task_ref>& claimed_tasks,
                                                time_point now)
 {
   std::size_t released = 0;
@@ -232,12 +237,14 @@
       for (std::uint32_t i = 0; i < step.tasks.size(); ++i)
       {
         const task_place place{c, s, i};
-        if (step.tasks[i].phase != task_phase::unaccounted || held.contains({job.id(), place}))
+        if (step.tasks[i].phase != task_phase::unaccounted ||
+            claimed_tasks.contains({job.id(), place}))
           continue;
         job.set_phase(place, task_phase::waiting);
         if (!m_lost_workers.empty())
           m_crashes.may_be_lost(job, place);
-        m_crashes.released(job, place, fate_of(job.task(place).crashes.announced_on), now);
+        m_crashes.released(job, place, earlier_worker_state(job.task(place).crashes.announced_on),
+                           now);
         ++released;
       }
     }
--- a/Source/UnitTests/Scheduling/EndedJobsTest.cpp
+++ b/Source/UnitTests/Scheduling/EndedJobsTest.cpp
@@ -9,7 +9,8 @@
 
 BOOST_AUTO_TEST_SUITE(EndedJobsTest)
 
-// Periyar, scale-2, 8.7 s: a job that had ended was read again after the store forgot its history.
+// An owner read a job that had ended from the store again, after the store had lost the history of
+// its feed.
 BOOST_AUTO_TEST_CASE(an_ended_job_is_remembered_for_a_while_and_then_dropped)
 {
   const std::string id = "0123456789abcdef";
@@ -30,9 +31,9 @@
   BOOST_TEST(!owner.scheduler->knew(id));
 }
 
-// Thies, hunt-28fa-19: two workers' lists were heard in the reverse order of the runs, the earlier
-// failure was taken for counted, and a third attempt of two was made.
-BOOST_AUTO_TEST_CASE(failures_count_in_whatever_order_they_are_heard_of)
+// Two workers' lists arrived in the reverse order of the runs. The earlier run's failure was taken
+// for one that had been counted already, and a third attempt was made where two are allowed.
+BOOST_AUTO_TEST_CASE(failures_count_in_any_order_of_arrival)
 {
   const std::string id = "0123456789abcdef";
   scheduler_harness owner(2000);
--- a/Source/UnitTests/Scheduling/SchedulerHarness.cpp
+++ b/Source/UnitTests/Scheduling/SchedulerHarness.cpp
@@ -13,22 +13,22 @@
 {
 constexpr const char* k_queue = "queue";
 constexpr const char* k_service = "service";
-constexpr std::chrono::seconds k_clock_behind{30};
-constexpr std::chrono::seconds k_earlier_leases{16};
+constexpr std::chrono::seconds k_worker_clock_lag{30};
+constexpr std::chrono::seconds k_earlier_owner_lease_time{16};
 constexpr run_number k_earlier_run = 7;
 constexpr run_number k_first_run_after_takeover = 1000;
 
-void sort_in(const command& what, scheduler_harness& harness)
+void collect_command(const command& issued, scheduler_harness& harness)
 {
-  if (const auto* start = std::get_if<start_command>(&what))
+  if (const auto* start = std::get_if<start_command>(&issued))
     harness.starts.push_back(*start);
-  else if (const auto* stop = std::get_if<stop_command>(&what))
+  else if (const auto* stop = std::get_if<stop_command>(&issued))
     harness.stops.push_back(*stop);
-  else if (const auto* hold = std::get_if<hold_command>(&what))
+  else if (const auto* hold = std::get_if<hold_command>(&issued))
     harness.holds.push_back(*hold);
-  else if (const auto* pace = std::get_if<pace_command>(&what))
+  else if (const auto* pace = std::get_if<pace_command>(&issued))
     harness.paces.push_back(*pace);
-  else if (const auto* advice = std::get_if<advice_command>(&what))
+  else if (const auto* advice = std::get_if<advice_command>(&issued))
     harness.questions.push_back(*advice);
 }
 } // namespace
@@ -51,7 +51,7 @@
 {
   scheduler->tick(now);
   for (const command& each : scheduler->take_commands())
-    sort_in(each, *this);
+    collect_command(each, *this);
 }
 
 void scheduler_harness::clear()
@@ -117,7 +117,7 @@
 {
   scheduler->add_job(job(id, {spec}), now);
   step();
-  commit_and_step(); // that the step has begun
+  commit_and_step(); // writes the step's begin mark
 }
 
 void scheduler_harness::send_first_start(const jobs::step_spec& step)
@@ -129,7 +129,7 @@
 
 worker_clock_time scheduler_harness::clock() const
 {
-  return std::chrono::duration_cast<milliseconds>(now.time_since_epoch() - k_clock_behind);
+  return std::chrono::duration_cast<milliseconds>(now.time_since_epoch() - k_worker_clock_lag);
 }
 
 void scheduler_harness::answer_hold(const std::string& worker, std::vector<listed_run> running,
@@ -158,15 +158,16 @@
   scheduler->hold_answered(answer, now);
 }
 
-void scheduler_harness::answer_start(const start_command& order, call_end end)
+void scheduler_harness::answer_start(const start_command& request, call_end end)
 {
-  scheduler->start_answered({order.worker, order.task, order.run, end, clock(), now, order.token},
-                            now);
+  scheduler->start_answered(
+      {request.worker, request.task, request.run, end, clock(), now, request.token}, now);
 }
 
-void scheduler_harness::answer_stop(const stop_command& order, call_end end)
+void scheduler_harness::answer_stop(const stop_command& request, call_end end)
 {
-  scheduler->stop_answered({order.worker, order.task, order.run, end, now, order.token}, now);
+  scheduler->stop_answered({request.worker, request.task, request.run, end, now, request.token},
+                           now);
 }
 
 void scheduler_harness::commit()
@@ -183,23 +184,23 @@
   step();
 }
 
-listed_run scheduler_harness::running(const start_command& order)
+listed_run scheduler_harness::running(const start_command& request)
 {
   listed_run run;
-  run.task = order.task;
-  run.run = order.run;
+  run.task = request.task;
+  run.run = request.run;
   return run;
 }
 
-listed_end scheduler_harness::ended(end_number number, const start_command& order, run_outcome how,
-                                    const std::string& checkpoint)
+listed_end scheduler_harness::ended(end_number number, const start_command& request,
+                                    run_outcome how, const std::string& checkpoint)
 {
-  return {number, order.task, order.run, how, checkpoint};
+  return {number, request.task, request.run, how, checkpoint};
 }
 
 takeover_harness::takeover_harness() : scheduler_harness(k_first_run_after_takeover)
 {
-  scheduler->set_earlier_owners_lease_end(now + k_earlier_leases);
+  scheduler->set_earlier_owners_lease_end(now + k_earlier_owner_lease_time);
 }
 
 jobs::job_progress takeover_harness::begun()
--- a/Source/UnitTests/Scheduling/SchedulerHarness.h
+++ b/Source/UnitTests/Scheduling/SchedulerHarness.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// A partition's scheduler under test: virtual time, workers and jobs made up by the test, the
-// commands sorted by kind.
+// Runs a partition's scheduler under test in virtual time, with workers and jobs that the test
+// makes up, and collects the scheduler's commands by kind.
 
 #include <memory>
 #include <string>
@@ -27,7 +27,7 @@
   common::metrics metrics;
   std::unique_ptr<job_scheduler> scheduler;
 
-  // Commands since the last step or take.
+  // Commands since the last call of clear.
   std::vector<start_command> starts;
   std::vector<stop_command> stops;
   std::vector<hold_command> holds;
@@ -35,7 +35,7 @@
   std::vector<advice_command> questions;
 
   void pass(duration time);
-  // Ticks; the commands are added to those above.
+  // Ticks the scheduler and adds its commands to those above.
   void step();
   void clear();
 
@@ -43,51 +43,51 @@
   static jobs::accepted_job job(const std::string& id, std::vector<jobs::step_spec> steps);
   static jobs::step_spec step_of(std::uint32_t count, std::int64_t cpu_millis = 1000);
   void set_policy(const jobs::queue_policy& policy);
-  // A worker that has answered its first hold and runs nothing.
+  // Adds a worker that has answered its first hold and runs nothing.
   void add_worker(const worker_info& info);
-  // A job of one step whose tasks are started as far as there is room.
+  // Adds a job of one step and starts its tasks as far as there is free capacity.
   void start_job(const std::string& id, const jobs::step_spec& step);
 
-  // w1 is the only worker, and the start of k_job's first task was sent to it.
+  // Adds w1 as the only worker, and k_job, and has the start of the job's first task sent to w1.
   void send_first_start(const jobs::step_spec& step = step_of(1));
 
-  // The worker's clock: half a minute behind ours.
+  // The workers' clocks, which are half a minute behind this owner's.
   worker_clock_time clock() const;
   void answer_hold(const std::string& worker, std::vector<listed_run> running,
                    std::vector<listed_end> ended = {}, end_number acknowledged = 0);
-  // The hold ended without the worker's lists.
+  // Ends a hold without the worker's lists.
   void fail_hold(const std::string& worker, call_end end);
-  void answer_start(const start_command& order, call_end end);
-  void answer_stop(const stop_command& order, call_end end);
-  // Everything that there is to write is written.
+  void answer_start(const start_command& request, call_end end);
+  void answer_stop(const stop_command& request, call_end end);
+  // Writes everything that there is to write.
   void commit();
-  // The same, and then a tick.
+  // The same, followed by a tick.
   void commit_and_step();
 
   // The token of the owner's latest commit.
   fencing_token token = 0;
-  // Of the lives that answer from now on; none: workers that do not say it.
+  // The incarnation of the workers that answer from now on; none: workers that do not report it.
   std::optional<incarnation_start> born;
 
-  static listed_run running(const start_command& order);
-  static listed_end ended(end_number number, const start_command& order, run_outcome how,
+  static listed_run running(const start_command& request);
+  static listed_end ended(end_number number, const start_command& request, run_outcome how,
                           const std::string& checkpoint = {});
 };
 
-// An owner that takes a partition over from an earlier one, whose leases end 16 s later.
+// An owner that takes a partition over from an earlier owner, whose leases end 16 s later.
 class takeover_harness : public scheduler_harness
 {
 public:
   takeover_harness();
 
-  // Progress of a job whose first step has begun.
+  // The stored progress of a job whose first step may have begun in any zone.
   static jobs::job_progress begun();
-  // The listing of a run of k_job's first task that the earlier owner started.
+  // The list entry of a run of k_job's first task that the earlier owner started.
   static listed_run earlier_run();
-  // A job of one step of one task that has begun.
+  // Restores a job of one step with one task that may have begun.
   void restore_begun(const std::string& id);
   void restore_claim(const std::string& worker, const worker_claim& claim);
-  // Everything was restored.
+  // Begins the accounting, after everything has been restored.
   void begin();
 };
 } // namespace yardhill::scheduling
--- a/Source/UnitTests/Scheduling/ShownStateTest.cpp
+++ b/Source/UnitTests/Scheduling/ShownStateTest.cpp
@@ -5,9 +5,10 @@
 
 #include "Scheduling/SchedulerHarness.h"
 
-// Seen under owners killed one after the other: a job was shown as active, and by the next owner as
-// queued. An owner showed the state of its memory, and died before it had written that; the row
-// that it had written before the first start, which says where tasks may have begun, said queued.
+// When owners were killed one after the other, a job was shown as active by one owner and as queued
+// by the next. The first owner showed the state in its memory and was killed before it had written
+// that state. The row that it had written before the first start, with the step's begin mark, said
+// that the job was queued.
 
 using namespace yardhill::scheduling;
 using yardhill::jobs::job_state;
@@ -16,16 +17,16 @@
 {
 constexpr const char* k_job = "0123456789abcdef";
 
-struct job_with_room : scheduler_harness
+struct job_with_free_worker : scheduler_harness
 {
-  job_with_room()
+  job_with_free_worker()
   {
     add_worker(worker("w1"));
     scheduler->add_job(job(k_job, {step_of(1)}), now);
     step();
   }
 
-  // What a later owner reads, once this owner has written it.
+  // Writes the job's row and returns it as a later owner reads it.
   std::string written_row()
   {
     const commit_batch batch = scheduler->take_commit(90, now);
@@ -37,7 +38,8 @@
 
 BOOST_AUTO_TEST_SUITE(ShownStateTest)
 
-BOOST_FIXTURE_TEST_CASE(a_job_that_was_active_is_not_queued_under_the_next_owner, job_with_room)
+BOOST_FIXTURE_TEST_CASE(a_job_that_was_active_is_not_queued_under_the_next_owner,
+                        job_with_free_worker)
 {
   const std::string row = written_row();
   step();
@@ -50,15 +52,15 @@
   BOOST_TEST((next.scheduler->state_of(k_job) == job_state::active));
 }
 
-// Whoever asks the store and whoever asks the owner are told the same.
-BOOST_FIXTURE_TEST_CASE(a_job_is_active_as_soon_as_its_row_says_so, job_with_room)
+// The store and the owner must give the same answer.
+BOOST_FIXTURE_TEST_CASE(a_job_is_active_as_soon_as_its_row_says_so, job_with_free_worker)
 {
   BOOST_TEST((scheduler->state_of(k_job) == job_state::queued));
   const auto progress = yardhill::jobs::job_progress_from(written_row());
   BOOST_TEST((scheduler->state_of(k_job) == progress.state));
 }
 
-// Rows of an owner that wrote them before its jobs counted as active.
+// A row may have been written by an owner that did not count the job as active yet.
 BOOST_AUTO_TEST_CASE(a_job_that_may_have_begun_is_restored_as_active)
 {
   scheduler_harness owner(1000);
--- a/Source/UnitTests/Scheduling/TakeoverTest.cpp
+++ b/Source/UnitTests/Scheduling/TakeoverTest.cpp
@@ -13,7 +13,7 @@
 
 namespace
 {
-// An owner that has taken over a job of one task from an earlier one.
+// An owner that has taken over a job with one task from an earlier owner.
 struct taken_over : takeover_harness
 {
   taken_over()
@@ -39,8 +39,8 @@
   BOOST_TEST(starts.front().run > 1000U);
 }
 
-// Thies, trouble-1, 20.478 s: a run that was found on a worker counted as lost at once, since no
-// lease had been counted there yet, and was started a second time elsewhere.
+// A run that was found on a worker counted as lost at once, since no lease had been recorded for
+// that worker yet, and its task was started a second time on another worker.
 BOOST_FIXTURE_TEST_CASE(a_run_found_on_a_worker_goes_on, taken_over)
 {
   answer_hold("w1", {earlier_run()});
@@ -59,14 +59,14 @@
   step();
   BOOST_TEST(starts.empty());
   pass(seconds{2});
-  commit_and_step(); // a fresh word of the store
+  commit_and_step(); // a fresh renewal
   BOOST_TEST(starts.size() == 1U);
 }
 
-// Explorer, seed 450787: an owner cut off with its zone gave up an unheard worker at the end of the
-// earlier owner's leases and started the tasks again, while its successor had heard that worker.
-BOOST_FIXTURE_TEST_CASE(after_the_earlier_leases_tasks_start_only_by_a_fresh_word_of_the_store,
-                        taken_over)
+// An owner that was isolated with its zone gave up an unheard worker at the end of the earlier
+// owner's leases and started that worker's tasks again, while its own successor had heard the
+// worker.
+BOOST_FIXTURE_TEST_CASE(after_the_earlier_leases_tasks_start_only_with_a_fresh_renewal, taken_over)
 {
   answer_hold("w1", {});
   commit();
@@ -88,8 +88,8 @@
   BOOST_TEST((scheduler->state_of(k_job) == yardhill::jobs::job_state::completed));
 }
 
-// Periyar, trouble-3, 38.983 s: while a zone was cut off its workers' entries lapsed, a new owner
-// counted only the workers with entries, and what ran on the others was started again.
+// While a zone was isolated, the entries of its workers lapsed. A new owner waited only for the
+// workers with entries, and tasks that ran on the other workers were started again.
 BOOST_FIXTURE_TEST_CASE(a_worker_without_an_entry_is_waited_for_if_earlier_owners_used_it,
                         takeover_harness)
 {
@@ -115,13 +115,13 @@
   scheduler->add_job(job(k_job, {step_of(1)}), now);
   step();
   BOOST_TEST(starts.empty());
-  commit_and_step(); // the claim
+  commit_and_step(); // writes the claim
   BOOST_TEST(starts.empty());
-  commit_and_step(); // that the step has begun
+  commit_and_step(); // writes the step's begin mark
   BOOST_TEST(starts.size() == 1U);
 }
 
-// Periyar, scale-2, 29.5 s: the claim of one worker that had left kept every task waiting for 12 s.
+// The claim of a single worker that had left kept every task waiting for 12 s.
 BOOST_FIXTURE_TEST_CASE(a_closed_claim_holds_back_no_more_than_its_tasks, takeover_harness)
 {
   restore_claim("w9", {{"10.0.0.9", 80}, "", true, {{k_job, {0, 0, 0}}}});
@@ -135,7 +135,7 @@
   BOOST_TEST(starts.front().task.job == k_other_job);
   clear();
   pass(seconds{17});
-  commit_and_step(); // a fresh word of the store
+  commit_and_step(); // a fresh renewal
   BOOST_TEST(std::any_of(starts.begin(), starts.end(),
                          [](const start_command& each) { return each.task.job == k_job; }));
 }
@@ -170,7 +170,7 @@
   answer_start(starts.front(), call_end::unanswered);
   pass(milliseconds{310});
   step();
-  BOOST_TEST_REQUIRE(starts.size() == 2U); // the same one again
+  BOOST_TEST_REQUIRE(starts.size() == 2U); // the same start again
   BOOST_TEST(starts.back().run == starts.front().run);
   answer_start(starts.back(), call_end::unanswered);
   pass(seconds{1});
@@ -184,14 +184,14 @@
   clear();
   step();
   BOOST_TEST(starts.empty());
-  commit_and_step(); // the open claim
-  commit_and_step(); // that the second job's step has begun
+  commit_and_step(); // writes the open claim
+  commit_and_step(); // writes the begin mark of the second job's step
   BOOST_TEST(starts.size() == 1U);
 }
 
-// Explorer, seed 266: an owner cut off with its zone gave up a run on a silent worker and started
-// the task again, while its successor had heard that worker and acknowledged the end.
-BOOST_FIXTURE_TEST_CASE(a_task_given_up_unheard_starts_again_only_by_a_fresh_word_of_the_store,
+// An owner that was isolated with its zone gave up a run on a silent worker and started the task
+// again, while its successor had heard that worker and acknowledged the run's end.
+BOOST_FIXTURE_TEST_CASE(a_task_given_up_unheard_starts_again_only_with_a_fresh_renewal,
                         scheduler_harness)
 {
   send_first_start();
@@ -204,9 +204,11 @@
   BOOST_TEST(starts.size() == 1U);
 }
 
-// Explorer, seed 1736: a new owner whose feed of workers was behind heard of a worker's earlier
-// life after it had asked the present one, took that for gone, and started its tasks elsewhere.
-BOOST_FIXTURE_TEST_CASE(the_entry_of_an_earlier_life_does_not_end_a_later_one, takeover_harness)
+// A new owner whose feed of worker entries lagged behind received the entry of a worker's earlier
+// incarnation after it had asked the present one. It assumed that the present one was gone and
+// started its tasks elsewhere.
+BOOST_FIXTURE_TEST_CASE(the_entry_of_an_earlier_incarnation_does_not_end_a_later_one,
+                        takeover_harness)
 {
   restore_claim("life-2", {{"10.0.0.9", 80}, "", false, {}});
   restore_begun(k_job);
@@ -221,10 +223,12 @@
   BOOST_TEST(starts.empty());
 }
 
-// Workers that were restarted behind a cut: the earlier life's last entry was written when the cut
-// healed, after the first one of the life that had its address. The owner took the later life for
-// gone and started its tasks elsewhere as well.
-BOOST_FIXTURE_TEST_CASE(the_entry_of_another_life_at_its_address_ends_no_worker, scheduler_harness)
+// A worker was restarted while its zone was isolated. The last entry of the earlier incarnation was
+// written when the isolation ended, after the first entry of the incarnation that now had its
+// address. The owner assumed that the later incarnation was gone and started its tasks a second
+// time elsewhere.
+BOOST_FIXTURE_TEST_CASE(the_entry_of_another_incarnation_at_its_address_ends_no_worker,
+                        scheduler_harness)
 {
   add_worker(worker("life-2"));
   start_job(k_job, step_of(1));
@@ -238,8 +242,9 @@
   BOOST_TEST(starts.size() == 1U);
 }
 
-// Which of the two is there is told by the answer to a call, for which nothing is waited.
-BOOST_FIXTURE_TEST_CASE(a_worker_whose_address_another_life_names_is_asked_at_once,
+// Only the answer to a call shows which of two incarnations is at an address, so a hold that does
+// not wait for updates is sent.
+BOOST_FIXTURE_TEST_CASE(a_worker_whose_address_another_incarnation_names_is_asked_at_once,
                         scheduler_harness)
 {
   worker_info first = worker("life-1");
@@ -260,14 +265,14 @@
   BOOST_TEST(starts.size() == 1U);
   fail_hold("life-1", call_end::other_incarnation);
   step();
-  commit_and_step(); // the run after a crash is announced first
+  commit_and_step(); // writes the announcement that the run after a crash needs
   BOOST_TEST_REQUIRE(starts.size() == 2U);
   BOOST_TEST(starts.back().worker.value == "life-2");
 }
 
-// A start, a stop and a hold alike may find that another life has the worker's address.
-BOOST_FIXTURE_TEST_CASE(a_start_that_another_life_rejects_ends_the_earlier_one_with_its_claim,
-                        scheduler_harness)
+// A start, a stop or a hold may find that another incarnation has the worker's address.
+BOOST_FIXTURE_TEST_CASE(
+    a_start_that_another_incarnation_rejects_ends_the_earlier_one_with_its_claim, scheduler_harness)
 {
   send_first_start();
   answer_start(starts.front(), call_end::other_incarnation);
