--- a/Source/Core/Scheduling/SchedulerOptions.h
+++ b/Source/Core/Scheduling/SchedulerOptions.h
@@ -148,10 +148,10 @@
   // A ticket is not used in this last part of its lifetime, since the start has to reach the worker
   // before the ticket expires.
   duration ticket_margin = std::chrono::milliseconds{150};
-  // Advice for a step is requested ahead of more urgent steps once this much time has passed since
-  // it was last requested for the step. Without this rule, advice for late jobs was first requested
-  // 45 s after their submission, although there was free capacity all the time (LateAdviceTest);
-  // the platform expects a task for which there is free capacity to begin within 3 s.
+  // Advice for a step is requested before that for more urgent steps once this much time has passed
+  // since it was last requested or the job was accepted. Without this rule, late jobs waited 45 s
+  // for their first request, with free capacity all the time (LateAdviceTest); the platform expects
+  // a task for which there is free capacity to begin within 3 s.
   duration max_advice_turn_wait = std::chrono::milliseconds{2000};
   // Advice for a step is requested when the steps that it depends on should end within this time.
   duration advice_ahead = std::chrono::milliseconds{1200};
