--- a/Source/Core/Model/RunJudge.h
+++ b/Source/Core/Model/RunJudge.h
@@ -18,8 +18,8 @@
 
 namespace yardhill::model
 {
-using scheduling::run_outcome;
 using scheduling::run_number;
+using scheduling::run_outcome;
 using scheduling::task_ref;
 
 // A run as a worker begins it.
--- a/Source/Core/Node/AdvicePool.cpp
+++ b/Source/Core/Node/AdvicePool.cpp
@@ -57,7 +57,8 @@
 advice_pool::instance& advice_pool::choose_instance(std::chrono::milliseconds expected)
 {
   const common::time_point now = m_time.now();
-  const std::size_t first = expected >= scheduling::k_long_advice_threshold ? reserved_for_short() : 0;
+  const std::size_t first =
+      expected >= scheduling::k_long_advice_threshold ? reserved_for_short() : 0;
   instance* best = nullptr;
   for (std::size_t i = first; i < m_instances.size(); ++i)
   {
--- a/Source/Core/Node/NodeCoreLayout.cpp
+++ b/Source/Core/Node/NodeCoreLayout.cpp
@@ -61,22 +61,23 @@
 {
   const cell_layout& layout = *m_layout.layout();
   const owner_dependencies parts{m_environment.time,
-                         m_store,
-                         m_feed_store,
-                         m_store_path,
-                         m_store_clock,
-                         m_workers,
-                         m_advice,
-                         m_environment.metrics,
-                         m_environment.send_to_peer,
-                         m_worker_entries,
-                         [this] { return m_worker_feed.loaded(); },
-                         m_capacities,
-                         m_loop,
-                         m_queues,
-                         layout,
-                         [this](const std::string& partition) { return spare_millis(partition); },
-                         [this] { return m_peers.strongest(); }};
+                                 m_store,
+                                 m_feed_store,
+                                 m_store_path,
+                                 m_store_clock,
+                                 m_workers,
+                                 m_advice,
+                                 m_environment.metrics,
+                                 m_environment.send_to_peer,
+                                 m_worker_entries,
+                                 [this] { return m_worker_feed.loaded(); },
+                                 m_capacities,
+                                 m_loop,
+                                 m_queues,
+                                 layout,
+                                 [this](const std::string& partition)
+                                 { return spare_millis(partition); },
+                                 [this] { return m_peers.strongest(); }};
   ownership_options options;
   options.ended_job_retention = k_ended_retention_factor * m_status_retention;
   for (const std::string& name : layout.names())
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -294,7 +294,8 @@
   // The store may already say that the job is active, and report that to others.
   if (*latest == jobs::job_state::queued && m_commits->has_in_flight(id))
     return std::nullopt;
-  if (jobs::is_final(*latest) && (m_commits->has_in_flight(id) || m_scheduler->has_uncommitted_state(id)))
+  if (jobs::is_final(*latest) &&
+      (m_commits->has_in_flight(id) || m_scheduler->has_uncommitted_state(id)))
     return jobs::job_state::active;
   return latest;
 }
@@ -426,7 +427,7 @@
   update_wall_clock(now);
   m_scheduler->set_advice_slots(m_dependencies.advice.slots(now));
   m_scheduler->set_request_times(m_dependencies.workers.order_patience(),
-                               m_dependencies.workers.round_trip());
+                                 m_dependencies.workers.round_trip());
   m_scheduler->set_loop_lateness(m_dependencies.loop.latest());
   m_scheduler->tick(now);
   for (const scheduling::command& each : m_scheduler->take_commands())
--- a/Source/Core/Scheduling/AdvicePlanner.cpp
+++ b/Source/Core/Scheduling/AdvicePlanner.cpp
@@ -136,7 +136,8 @@
   }
   if (m_cpu_budget <= 0)
     return;
-  m_cpu_budget -= static_cast<std::int64_t>(record.waiting) * required_resources(*record.spec).cpu_millis;
+  m_cpu_budget -=
+      static_cast<std::int64_t>(record.waiting) * required_resources(*record.spec).cpu_millis;
   send_request(job, cycle, step, request_reason::waiting, now);
 }
 
--- a/Source/Core/Scheduling/CopyWatch.cpp
+++ b/Source/Core/Scheduling/CopyWatch.cpp
@@ -40,7 +40,8 @@
 void copy_watch::record_end(worker_record& worker, const listed_end& end, time_point now)
 {
   const job_record* const job = m_state.find_job(end.task.job);
-  const bool final_end = end.how == run_outcome::done || (end.how == run_outcome::failed && job->ended());
+  const bool final_end =
+      end.how == run_outcome::done || (end.how == run_outcome::failed && job->ended());
   if (!final_end || !copy_may_begin(*job, end.task.place))
     return;
   worker.kept_ends.emplace(end.number, kept_end{end.task, now});
--- a/Source/Core/Scheduling/Placer.cpp
+++ b/Source/Core/Scheduling/Placer.cpp
@@ -103,7 +103,8 @@
   const std::size_t blocked_before = found == blocked_by_queue.end() ? 0 : found->second;
   if (blocked_before < m_state.options.blocked_steps_per_pass)
     return true;
-  return blocked_before / m_state.options.backlog_window % m_state.options.backlog_rotation_passes ==
+  return blocked_before / m_state.options.backlog_window %
+             m_state.options.backlog_rotation_passes ==
          m_passes % m_state.options.backlog_rotation_passes;
 }
 
--- a/Source/Core/Scheduling/PlacerGangs.cpp
+++ b/Source/Core/Scheduling/PlacerGangs.cpp
@@ -20,10 +20,11 @@
 {
   std::vector<std::uint32_t> order(step.tasks.size());
   std::iota(order.begin(), order.end(), 0U);
-  std::stable_sort(
-      order.begin(), order.end(),
-      [&step](std::uint32_t left, std::uint32_t right)
-      { return counted_losses(step.tasks[left].crashes) > counted_losses(step.tasks[right].crashes); });
+  std::stable_sort(order.begin(), order.end(),
+                   [&step](std::uint32_t left, std::uint32_t right) {
+                     return counted_losses(step.tasks[left].crashes) >
+                            counted_losses(step.tasks[right].crashes);
+                   });
   return order;
 }
 } // namespace
--- a/Source/Core/Scheduling/Reservations.cpp
+++ b/Source/Core/Scheduling/Reservations.cpp
@@ -23,7 +23,8 @@
 
 bool reservations::is_large(const step_record& step, const worker_record& worker) const
 {
-  return common::dominant_share(required_resources(*step.spec), worker.info.capacity) >= k_large_share;
+  return common::dominant_share(required_resources(*step.spec), worker.info.capacity) >=
+         k_large_share;
 }
 
 time_point reservations::expected_end(const run_record& run, time_point now) const
--- a/Source/Core/Scheduling/SchedulerOptions.h
+++ b/Source/Core/Scheduling/SchedulerOptions.h
@@ -120,8 +120,8 @@
   // The longest time from the stop request for a task until the task has begun on another worker:
   // the longest stop (900 ms) and two answers. Until then no other task is moved to that worker.
   duration move_time = std::chrono::milliseconds{1100};
-  // A worker becomes unresponsive after this many start and stop requests in a row without an answer, or
-  // after a single such hold.
+  // A worker becomes unresponsive after this many start and stop requests in a row without an
+  // answer, or after a single such hold.
   unsigned unanswered_to_suspect = 2;
   // After this many start and stop requests in a row that no worker of a zone has answered, the
   // zone seems isolated, and nothing is started there until one of its workers is heard. Where a
--- a/Source/Core/Scheduling/TakeoverAccounting.cpp
+++ b/Source/Core/Scheduling/TakeoverAccounting.cpp
@@ -105,7 +105,8 @@
   {
     const worker_record* const worker = m_state.find_worker(each.first);
     const bool expired = worker == nullptr || now >= worker->lease_end;
-    if (expired && m_lost_workers.emplace(each.first, crash_watch::earlier_worker_status::unheard).second)
+    if (expired &&
+        m_lost_workers.emplace(each.first, crash_watch::earlier_worker_status::unheard).second)
       record_losses_of(each.first, now);
     return expired;
   };
--- a/Source/Core/Scheduling/WaitReport.cpp
+++ b/Source/Core/Scheduling/WaitReport.cpp
@@ -68,7 +68,8 @@
 {
   static constexpr auto k_mark_states = std::to_array<std::string_view>(
       {"not requested", "waits for a commit", "is being written", "is written for another zone"});
-  const begin_mark mark = begun.all_zones_mark == begin_mark::none ? begun.mark : begun.all_zones_mark;
+  const begin_mark mark =
+      begun.all_zones_mark == begin_mark::none ? begun.mark : begun.all_zones_mark;
   return "the begin mark " + std::string(common::name_of(k_mark_states, mark));
 }
 
--- a/Source/Core/Scheduling/ZoneChooser.cpp
+++ b/Source/Core/Scheduling/ZoneChooser.cpp
@@ -53,7 +53,8 @@
 
 bool zone_chooser::has_slack(const job_record& job, std::uint32_t step, time_point now) const
 {
-  return job.objective() - (now + job.critical_path_from(step)) > m_state.options.max_zone_isolation;
+  return job.objective() - (now + job.critical_path_from(step)) >
+         m_state.options.max_zone_isolation;
 }
 
 std::string zone_chooser::choose(const job_record& job, std::uint32_t cycle, std::uint32_t step,
@@ -72,7 +73,8 @@
   {
     if (m_state.usable(*worker, now) && worker->slow_until <= now &&
         meets_requirements(*worker, job, record))
-      capacity[worker->info.zone] += tasks_that_fit(required_resources(spec), worker->free(), max_per_worker);
+      capacity[worker->info.zone] +=
+          tasks_that_fit(required_resources(spec), worker->free(), max_per_worker);
   }
   std::string current_zone = zone_of(its_cycle);
   if (!current_zone.empty() && capacity[current_zone] >= wanted_tasks)
