--- a/Source/Core/Node/ConfigurationWatch.cpp
+++ b/Source/Core/Node/ConfigurationWatch.cpp
@@ -30,7 +30,7 @@
 {
 }
 
-void configuration_watch::on_peer_report(const common::way_report& report)
+void configuration_watch::on_peer_report(const common::store_reachability_report& report)
 {
   if (report.has_way)
     m_peer_reached_store_at = m_time.now();
--- a/Source/Core/Node/ConfigurationWatch.h
+++ b/Source/Core/Node/ConfigurationWatch.h
@@ -29,7 +29,7 @@
   configuration_watch(common::timekeeper& time, const table_feed& feed, const store_path& path,
                       const jobs::queue_table& queues, common::duration limit);
 
-  void on_peer_report(const common::way_report& report);
+  void on_peer_report(const common::store_reachability_report& report);
   // What peers are told: the version in force here if it is certain to be the newest, else 0.
   std::uint64_t newest() const;
   // Whether a peer has reported a newer version than the one in force here.
--- a/Source/Core/Node/JobStateQueries.cpp
+++ b/Source/Core/Node/JobStateQueries.cpp
@@ -31,7 +31,7 @@
   }
   const std::uint64_t number = ++m_last_number;
   m_pending[number] = {holder, std::move(done), m_time.now() + k_reply_timeout};
-  m_send(holder, common::state_question{number, id});
+  m_send(holder, common::job_state_query{number, id});
 }
 
 void job_state_queries::peer_reachable(const std::string& peer)
@@ -49,9 +49,9 @@
   }
 }
 
-void job_state_queries::on_query(const std::string& peer, const common::state_question& query)
+void job_state_queries::on_query(const std::string& peer, const common::job_state_query& query)
 {
-  common::state_reply reply;
+  common::job_state_reply reply;
   reply.number = query.number;
   for (const auto& each : m_partitions)
   {
@@ -64,7 +64,7 @@
   m_send(peer, reply);
 }
 
-void job_state_queries::on_reply(const std::string& peer, const common::state_reply& reply)
+void job_state_queries::on_reply(const std::string& peer, const common::job_state_reply& reply)
 {
   const auto found = m_pending.find(reply.number);
   if (found == m_pending.end() || found->second.peer != peer)
--- a/Source/Core/Node/JobStateQueries.h
+++ b/Source/Core/Node/JobStateQueries.h
@@ -39,8 +39,8 @@
 
   void peer_reachable(const std::string& peer);
   void peer_unreachable(const std::string& peer);
-  void on_query(const std::string& peer, const common::state_question& query);
-  void on_reply(const std::string& peer, const common::state_reply& reply);
+  void on_query(const std::string& peer, const common::job_state_query& query);
+  void on_reply(const std::string& peer, const common::job_state_reply& reply);
   void tick(common::time_point now);
 
 private:
--- a/Source/Core/Node/NodeCore.h
+++ b/Source/Core/Node/NodeCore.h
@@ -73,7 +73,7 @@
 private:
   void peer_reachable(const std::string& peer);
   void peer_unreachable(const std::string& peer);
-  void on_way_report(const std::string& peer, const common::way_report& report);
+  void on_way_report(const std::string& peer, const common::store_reachability_report& report);
   void on_operator_rows(const std::vector<adapter::row>& rows);
   void apply_configuration(const adapter::row& row);
   // Reads the configuration through a peer if a peer knows a newer version and the feed, on the
--- a/Source/Core/Node/NodeCoreLayout.cpp
+++ b/Source/Core/Node/NodeCoreLayout.cpp
@@ -132,6 +132,6 @@
 {
   m_reported_strength = shared_millis(owned());
   for (const std::string& peer : m_linked)
-    m_environment.send_to_peer(peer, common::strength_report{m_reported_strength});
+    m_environment.send_to_peer(peer, common::processor_capacity_report{m_reported_strength});
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -120,7 +120,7 @@
 }
 
 void partition_owner::on_orders_query(const std::string& peer,
-                                      const common::orders_question& question)
+                                      const common::previous_requests_query& question)
 {
   // An instance that is taking the partition over does not reply: the reply to its own takeover may
   // still arrive and make it an earlier owner. An instance that has seen the later owner's row
@@ -132,10 +132,10 @@
                                                                    m_no_requests_since);
   m_dependencies.send_to_peer(
       peer,
-      common::orders_reply{m_partition, question.epoch, static_cast<std::uint64_t>(quiet.count())});
+      common::previous_requests_reply{m_partition, question.epoch, static_cast<std::uint64_t>(quiet.count())});
 }
 
-void partition_owner::on_orders_reply(const std::string& peer, const common::orders_reply& reply)
+void partition_owner::on_orders_reply(const std::string& peer, const common::previous_requests_reply& reply)
 {
   if (m_previous_requests.on_reply(peer, reply) && m_scheduler)
     m_scheduler->shorten_earlier_owners_leases(previous_leases_end());
--- a/Source/Core/Node/PartitionOwner.h
+++ b/Source/Core/Node/PartitionOwner.h
@@ -112,8 +112,8 @@
   void on_notice(const common::job_notice& notice);
   // A later owner's query whether this instance still sends requests to workers, and the reply to
   // such a query.
-  void on_orders_query(const std::string& peer, const common::orders_question& question);
-  void on_orders_reply(const std::string& peer, const common::orders_reply& reply);
+  void on_orders_query(const std::string& peer, const common::previous_requests_query& question);
+  void on_orders_reply(const std::string& peer, const common::previous_requests_reply& reply);
   // The committed state of a job, as far as this instance knows it; none if it does not own the
   // partition or does not know the job, or while the store may have a newer state.
   std::optional<jobs::job_state> written_state(const std::string& id) const;
--- a/Source/Core/Node/PeerMonitor.cpp
+++ b/Source/Core/Node/PeerMonitor.cpp
@@ -83,8 +83,8 @@
   m_events.reachable(name);
 }
 
-void peer_monitor::on_query(const std::string& name, const common::way_question& query,
-                            const common::way_report& own)
+void peer_monitor::on_query(const std::string& name, const common::store_reachability_query& query,
+                            const common::store_reachability_report& own)
 {
   const auto found = m_peers.find(name);
   if (found != m_peers.end())
@@ -95,7 +95,7 @@
   m_send(name, own);
 }
 
-void peer_monitor::on_report(const std::string& name, const common::way_report& report)
+void peer_monitor::on_report(const std::string& name, const common::store_reachability_report& report)
 {
   const auto found = m_peers.find(name);
   if (found == m_peers.end())
@@ -104,7 +104,7 @@
   found->second.reaches_store = report.has_way;
 }
 
-void peer_monitor::on_strength(const std::string& name, const common::strength_report& report)
+void peer_monitor::on_strength(const std::string& name, const common::processor_capacity_report& report)
 {
   const auto found = m_peers.find(name);
   if (found != m_peers.end())
@@ -143,7 +143,7 @@
   }
 }
 
-common::way_question peer_monitor::make_query(bool often, common::time_point now) const
+common::store_reachability_query peer_monitor::make_query(bool often, common::time_point now) const
 {
   const auto late = std::chrono::floor<std::chrono::milliseconds>(m_tick_gaps.longest(now));
   return {often, static_cast<std::uint32_t>(late.count())};
--- a/Source/Core/Node/PeerMonitor.h
+++ b/Source/Core/Node/PeerMonitor.h
@@ -54,10 +54,10 @@
   // Called for any message of the peer, since each shows that the peer is alive.
   void heard(const std::string& peer);
   // `own`: the report that this instance sends back.
-  void on_query(const std::string& peer, const common::way_question& query,
-                const common::way_report& own);
-  void on_report(const std::string& peer, const common::way_report& report);
-  void on_strength(const std::string& peer, const common::strength_report& report);
+  void on_query(const std::string& peer, const common::store_reachability_query& query,
+                const common::store_reachability_report& own);
+  void on_report(const std::string& peer, const common::store_reachability_report& report);
+  void on_strength(const std::string& peer, const common::processor_capacity_report& report);
   // The peer has just rejected a relayed request or left it unanswered.
   void avoid(const std::string& peer);
 
@@ -101,7 +101,7 @@
     std::chrono::milliseconds reported_lateness{0}; // of its event loop, as it reports itself
   };
 
-  common::way_question make_query(bool often, common::time_point now) const;
+  common::store_reachability_query make_query(bool often, common::time_point now) const;
   void send_queries(common::time_point now, bool owner, bool in_doubt);
   void send_query(const std::string& name, peer& each, bool often, common::time_point now);
   void query_as_owner(common::time_point now);
--- a/Source/Core/Node/PreviousOwnerRequests.cpp
+++ b/Source/Core/Node/PreviousOwnerRequests.cpp
@@ -45,10 +45,10 @@
   if (m_instance.empty() || now >= m_end || now - m_last_query < k_query_period)
     return;
   m_last_query = now;
-  m_send_to_peer(m_instance, common::orders_question{m_partition, m_epoch});
+  m_send_to_peer(m_instance, common::previous_requests_query{m_partition, m_epoch});
 }
 
-bool previous_owner_requests::on_reply(const std::string& peer, const common::orders_reply& reply)
+bool previous_owner_requests::on_reply(const std::string& peer, const common::previous_requests_reply& reply)
 {
   if (peer != m_instance || reply.partition != m_partition || reply.epoch != m_epoch)
     return false;
--- a/Source/Core/Node/PreviousOwnerRequests.h
+++ b/Source/Core/Node/PreviousOwnerRequests.h
@@ -43,7 +43,7 @@
   // instance is the owner.
   void tick();
   // Returns whether the end is now earlier than before.
-  bool on_reply(const std::string& peer, const common::orders_reply& reply);
+  bool on_reply(const std::string& peer, const common::previous_requests_reply& reply);
 
 private:
   const common::timekeeper& m_time;
--- a/Source/Core/Scheduling/CrashWatch.cpp
+++ b/Source/Core/Scheduling/CrashWatch.cpp
@@ -97,7 +97,7 @@
 
 std::size_t lost_starts(const jobs::crash_history& crashes)
 {
-  return counted_losses(crashes) + crashes.unanswered + crashes.by_chance + crashes.unjudged;
+  return counted_losses(crashes) + crashes.unanswered + crashes.by_chance + crashes.unexplained_losses;
 }
 
 bool suspected(const jobs::crash_history& crashes)
@@ -216,7 +216,7 @@
     mark_possibly_lost(*job, each.place);
     if (crashed && !each.finding && !announced)
     {
-      ++crashes.unjudged;
+      ++crashes.unexplained_losses;
       m_state.mark_dirty(*job);
     }
     if (each.finding || announced)
@@ -256,7 +256,7 @@
                        {"unclear", crashes.unclear.size()},
                        {"unanswered", crashes.unanswered},
                        {"by_chance", crashes.by_chance},
-                       {"unjudged", crashes.unjudged},
+                       {"unjudged", crashes.unexplained_losses},
                        {"alone", crashes.alone}});
   if (finding != verdict::by_chance)
     defer_decision({{job.id(), place}, run, worker, finding, alone, now});
@@ -381,7 +381,7 @@
   jobs::crash_history& crashes = job.task(place).crashes;
   if (crashes.announced != 0 || lost_starts(crashes) > 0)
     return;
-  crashes.unjudged = 1;
+  crashes.unexplained_losses = 1;
   m_state.mark_dirty(job);
 }
 
--- a/Source/Core/Scheduling/Evacuator.cpp
+++ b/Source/Core/Scheduling/Evacuator.cpp
@@ -52,8 +52,8 @@
   // Owners that share a job do not know how many of each other's tasks are unavailable, so each one
   // uses its share of the limit.
   if (run.job->shared())
-    return unavailable >= m_state.options.share.of_amount(step.spec->most_unavailable);
-  return unavailable >= std::max(1U, step.spec->most_unavailable);
+    return unavailable >= m_state.options.share.of_amount(step.spec->max_unavailable);
+  return unavailable >= std::max(1U, step.spec->max_unavailable);
 }
 
 void evacuator::evacuate(worker_record& worker, time_point now)
--- a/Source/Core/Scheduling/Placer.cpp
+++ b/Source/Core/Scheduling/Placer.cpp
@@ -162,8 +162,8 @@
   const step_record& step = job.cycles()[place.cycle].steps[place.step];
   if (!worker.foreign.empty() || !required_resources(*step.spec).fits_in(worker.free()))
     return false;
-  return step.spec->most_per_worker == 0 ||
-         worker.count_runs_of_step(job, place.cycle, place.step) < step.spec->most_per_worker;
+  return step.spec->max_tasks_per_worker == 0 ||
+         worker.count_runs_of_step(job, place.cycle, place.step) < step.spec->max_tasks_per_worker;
 }
 
 // Best fit: prefers the most utilized worker that can still take the task, so that other workers
--- a/Source/Core/Scheduling/WorkerRecord.cpp
+++ b/Source/Core/Scheduling/WorkerRecord.cpp
@@ -75,7 +75,7 @@
 common::resources required_resources(const jobs::step_spec& step)
 {
   common::resources required = step.demand;
-  if (step.fills_idle)
+  if (step.uses_idle_cpu)
     required.cpu_millis = 0;
   return required;
 }
--- a/Source/Core/Scheduling/ZoneChooser.cpp
+++ b/Source/Core/Scheduling/ZoneChooser.cpp
@@ -63,11 +63,11 @@
   const cycle_record& its_cycle = job.cycles()[cycle];
   const step_record& record = its_cycle.steps[step];
   const jobs::step_spec& spec = *record.spec;
-  if (spec.gang || spec.long_running || spec.fills_idle || has_slack(job, step, now))
+  if (spec.gang || spec.long_running || spec.uses_idle_cpu || has_slack(job, step, now))
     return {};
   const std::uint32_t wanted_tasks = spec.count * k_capacity_factor;
   const std::uint32_t max_per_worker =
-      spec.most_per_worker == 0 ? wanted_tasks : spec.most_per_worker;
+      spec.max_tasks_per_worker == 0 ? wanted_tasks : spec.max_tasks_per_worker;
   std::map<std::string, std::uint32_t> capacity; // number of tasks that fit, by zone
   for (const auto& [id, worker] : m_state.workers)
   {
--- a/Source/UnitTests/Node/JobStateQueriesTest.cpp
+++ b/Source/UnitTests/Node/JobStateQueriesTest.cpp
@@ -39,7 +39,7 @@
                                    {
                                      if (!disconnected)
                                        follower.on_reply("instance-1",
-                                                         std::get<common::state_reply>(message));
+                                                         std::get<common::job_state_reply>(message));
                                    },
                                    owning};
   node::job_state_queries follower{
@@ -48,7 +48,7 @@
       {
         BOOST_TEST(peer == "instance-1");
         if (!disconnected)
-          at_owner.on_query("instance-2", std::get<common::state_question>(message));
+          at_owner.on_query("instance-2", std::get<common::job_state_query>(message));
       },
       following};
   bool answered = false;
--- a/Source/UnitTests/Node/PeerMonitorTest.cpp
+++ b/Source/UnitTests/Node/PeerMonitorTest.cpp
@@ -169,7 +169,7 @@
   sent.clear();
   peers.tick(time.now(), true, false);
   BOOST_TEST_REQUIRE(!sent.empty());
-  BOOST_TEST(std::get<common::way_question>(sent.back()).late_ms == 400U);
+  BOOST_TEST(std::get<common::store_reachability_query>(sent.back()).late_ms == 400U);
 }
 
 BOOST_FIXTURE_TEST_CASE(an_owner_that_released_its_partition_says_so_and_may_fall_silent,
@@ -189,7 +189,7 @@
   pass(milliseconds{25}, true);
   pass(milliseconds{25}, false);
   BOOST_TEST_REQUIRE(sent.size() >= 1U);
-  BOOST_TEST(!std::get<common::way_question>(sent.back()).often);
+  BOOST_TEST(!std::get<common::store_reachability_query>(sent.back()).often);
 }
 
 // Two instances that own nothing send each other few messages. Without further queries, each would
@@ -298,7 +298,7 @@
   BOOST_TEST(sent.size() <= 4U * 15U + 146U);
   const auto often = std::count_if(sent.begin(), sent.end(),
                                    [](const common::peer_message& each)
-                                   { return std::get<common::way_question>(each).often; });
+                                   { return std::get<common::store_reachability_query>(each).often; });
   BOOST_TEST(often == 4 * 15);
 }
 
--- a/Source/UnitTests/Scheduling/ShrunkRoomTest.cpp
+++ b/Source/UnitTests/Scheduling/ShrunkRoomTest.cpp
@@ -74,7 +74,7 @@
                         shrunk_worker)
 {
   auto filling = step_of(1);
-  filling.fills_idle = true;
+  filling.uses_idle_cpu = true;
   start_job(k_other_job, filling);
   BOOST_TEST(starts.empty());
 }
