--- a/Source/Core/Common/Backoff.h
+++ b/Source/Core/Common/Backoff.h
@@ -16,12 +16,12 @@
 {
   duration first;
   duration most;
-  std::uint32_t most_doublings; // no more are counted, so that nothing overflows
+  std::uint32_t max_doublings; // no more are counted, so that nothing overflows
 
   // The pause after so many doublings of the first one.
   duration after(std::uint32_t doublings) const
   {
-    return std::min(first * (1U << std::min(doublings, most_doublings)), most);
+    return std::min(first * (1U << std::min(doublings, max_doublings)), most);
   }
 };
 } // namespace yardhill::common
--- a/Source/Core/Common/CellConfig.cpp
+++ b/Source/Core/Common/CellConfig.cpp
@@ -63,7 +63,7 @@
 
 zone_id home_zone(const task_id& task, const workload_config& workload, const cell_config& cell)
 {
-  const std::size_t mark = task.value.find(k_minted_mark);
+  const std::size_t mark = task.value.find(k_generated_key_mark);
   if (mark != std::string::npos)
   {
     const std::size_t start = task.value.find('/') + 1;
--- a/Source/Core/Common/CellConfig.h
+++ b/Source/Core/Common/CellConfig.h
@@ -76,7 +76,7 @@
 
 // A task's id is its workload's name, a slash, and the caller's key or a minted one. A minted key
 // starts with its home zone and this mark, which callers' keys may not hold.
-inline constexpr char k_minted_mark = '~';
+inline constexpr char k_generated_key_mark = '~';
 task_id make_task_id(const workload_id& workload, const std::string& key);
 workload_id workload_of(const task_id& task);
 
--- a/Source/Core/Common/ConfigParser.cpp
+++ b/Source/Core/Common/ConfigParser.cpp
@@ -217,14 +217,14 @@
 }
 } // namespace
 
-std::optional<cell_config> parse_cell_config(const std::vector<named_text>& files,
+std::optional<cell_config> parse_cell_config(const std::vector<loaded_file>& files,
                                              problem_list& problems)
 {
   const std::size_t problems_before = problems.size();
   cell_config cell;
   bool has_cell = false;
   std::vector<std::string> workload_files;
-  for (const named_text& file : files)
+  for (const loaded_file& file : files)
   {
     const std::optional<json> document = parse_with_comments(file.text, file.file, problems);
     if (!document)
@@ -261,13 +261,13 @@
   return cell;
 }
 
-std::string merge_documents(const std::vector<named_text>& files)
+std::string merge_documents(const std::vector<loaded_file>& files)
 {
   json merged = json::object();
   merged["teams"] = json::array();
   merged["workloads"] = json::array();
   problem_list ignored;
-  for (const named_text& file : files)
+  for (const loaded_file& file : files)
   {
     const json document =
         parse_with_comments(file.text, file.file, ignored).value_or(json::object());
--- a/Source/Core/Common/EventLog.cpp
+++ b/Source/Core/Common/EventLog.cpp
@@ -14,7 +14,7 @@
 #include <spdlog/sinks/base_sink.h>
 #include <spdlog/spdlog.h>
 
-#include "Common/PlayLog.h"
+#include "Common/SimulationLog.h"
 
 namespace yardhill::common
 {
@@ -158,13 +158,13 @@
   log.logger->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","process":")" + process + R"(",%v})");
 }
 
-void open_play_log(const std::string& process)
+void open_simulation_log(const std::string& process)
 {
   open_event_log(process);
   state().bounded = false;
 }
 
-void set_play_clock(std::function<std::chrono::milliseconds()> clock)
+void set_simulation_clock(std::function<std::chrono::milliseconds()> clock)
 {
   state().play_clock = std::move(clock);
 }
--- a/Source/Core/Common/InstanceSettings.cpp
+++ b/Source/Core/Common/InstanceSettings.cpp
@@ -45,14 +45,14 @@
     {"retry_most", &scheduling_options::retry_most},
     {"circuit_open", &scheduling_options::circuit_open},
     {"circuit_open_most", &scheduling_options::circuit_open_most},
-    {"gang_patience", &scheduling_options::gang_patience},
+    {"gang_patience", &scheduling_options::gang_timeout},
     {"ageing_step", &scheduling_options::ageing_step},
 });
 
 constexpr auto k_routing_spans = std::to_array<span_field<routing_options>>({
-    {"owner_patience", &routing_options::owner_patience},
+    {"owner_patience", &routing_options::no_owner_timeout},
     {"wait_limit", &routing_options::wait_limit},
-    {"come_back", &routing_options::come_back},
+    {"come_back", &routing_options::retry_after_delay},
 });
 
 template<class options, std::size_t size>
@@ -94,14 +94,14 @@
   settings.most_body = read_size(in, "request_bytes", most_bytes, settings.most_body);
 
   settings.threads = read_size(in, "http_threads", 64, settings.threads);
-  settings.core.routing.most_pending =
-      read_size(in, "pending_requests", most_count, settings.core.routing.most_pending);
-  scheduling.most_queued = read_size(in, "queued_tasks", most_count, scheduling.most_queued);
-  scheduling.most_queued_interactive =
-      read_size(in, "queued_interactive", most_count, scheduling.most_queued_interactive);
-  scheduling.most_retained = read_size(in, "retained_tasks", most_count, scheduling.most_retained);
-  scheduling.most_retained_bytes =
-      read_size(in, "retained_bytes", most_bytes, scheduling.most_retained_bytes);
+  settings.core.routing.max_pending_requests =
+      read_size(in, "pending_requests", most_count, settings.core.routing.max_pending_requests);
+  scheduling.max_queued = read_size(in, "queued_tasks", most_count, scheduling.max_queued);
+  scheduling.max_queued_interactive =
+      read_size(in, "queued_interactive", most_count, scheduling.max_queued_interactive);
+  scheduling.max_retained = read_size(in, "retained_tasks", most_count, scheduling.max_retained);
+  scheduling.max_retained_bytes =
+      read_size(in, "retained_bytes", most_bytes, scheduling.max_retained_bytes);
   in.finish();
 }
 
--- a/Source/Core/Common/Options.h
+++ b/Source/Core/Common/Options.h
@@ -35,13 +35,13 @@
   duration store_retry_most = std::chrono::milliseconds{5000};
   // Writes that come within these times share a transaction. Somebody waits for an acceptance or
   // an intent; nobody does for an end, which the worker remembers until it is written.
-  duration commit_soon = std::chrono::milliseconds{5};
-  duration commit_late = std::chrono::milliseconds{500};
+  duration urgent_commit_delay = std::chrono::milliseconds{5};
+  duration deferred_commit_delay = std::chrono::milliseconds{500};
   // How long the table keeps the record of an ended task.
   duration ended_retention = std::chrono::hours{24};
   // Records that may share a transaction; 1 writes each by itself.
-  std::size_t most_batch = 100;
-  duration probe_time = std::chrono::milliseconds{400};
+  std::size_t max_records_per_transaction = 100;
+  duration probe_duration = std::chrono::milliseconds{400};
   duration config_poll = std::chrono::milliseconds{2000};
 
   // Until when a worker that cannot be reached may still run what an earlier owner started.
@@ -60,11 +60,11 @@
 
 struct scheduling_options
 {
-  std::size_t most_queued = 20000;            // per partition, all kinds
-  std::size_t most_queued_interactive = 2000; // per partition
-  std::size_t most_scanned = 64;     // waiting tasks looked at past a blocked one, per pass
-  std::size_t most_retained = 20000; // ended tasks remembered in memory
-  std::size_t most_retained_bytes = 4U << 20U;
+  std::size_t max_queued = 20000;            // per partition, all kinds
+  std::size_t max_queued_interactive = 2000; // per partition
+  std::size_t max_scanned = 64;              // waiting tasks looked at past a blocked one, per pass
+  std::size_t max_retained = 20000;          // ended tasks remembered in memory
+  std::size_t max_retained_bytes = 4U << 20U;
   duration retention = std::chrono::minutes{10};
   duration retry_first = std::chrono::milliseconds{100};
   duration retry_most = std::chrono::seconds{30};
@@ -72,7 +72,7 @@
   std::uint32_t circuit_failures = 3;
   duration circuit_open = std::chrono::seconds{10};
   duration circuit_open_most = std::chrono::minutes{5};
-  duration gang_patience = std::chrono::seconds{20};
+  duration gang_timeout = std::chrono::seconds{20};
   duration ageing_step = std::chrono::minutes{5}; // each such wait is worth one priority level
   bool learn = true;                              // learned run times in place of the declared ones
   bool preempt = true; // checkpoint batch work for interactive work that finds no room
@@ -81,12 +81,12 @@
 
 struct routing_options
 {
-  std::uint32_t most_hops = 3;
-  std::uint32_t most_tries = 4;
-  duration owner_patience = std::chrono::milliseconds{4000}; // no owner is known
-  duration wait_limit = std::chrono::minutes{10};            // of a waiting caller
-  std::size_t most_pending = 20000;
-  duration come_back = std::chrono::seconds{2}; // retry_after where nothing better is known
+  std::uint32_t max_hops = 3;
+  std::uint32_t max_tries = 4;
+  duration no_owner_timeout = std::chrono::milliseconds{4000}; // no owner is known
+  duration wait_limit = std::chrono::minutes{10};              // of a waiting caller
+  std::size_t max_pending_requests = 20000;
+  duration retry_after_delay = std::chrono::seconds{2}; // retry_after where nothing better is known
 };
 
 struct core_options
--- a/Source/Core/Common/PeerMessages.h
+++ b/Source/Core/Common/PeerMessages.h
@@ -129,13 +129,13 @@
 
 // Whether the receiver lives and reaches the store. Sent by an instance that doubts its own way
 // there.
-struct way_question
+struct store_reachability_query
 {
   bool often = false;        // the sender owns a partition and asks all the time
   std::uint32_t late_ms = 0; // the longest that its event loop was late by lately
 };
 
-struct way_report
+struct store_reachability_report
 {
   bool has_way = false; // the sender's direct calls to the store are answered
   // The operator's newest, which is in force at the sender; 0: it does not know whether one is.
@@ -143,19 +143,19 @@
 };
 
 // Sent once a link is up: an owner's work wants an instance that can bear it.
-struct strength_report
+struct processor_capacity_report
 {
   std::uint32_t processor_millis = 0; // that the sender may use, in thousandths of a core
 };
 
 // What the receiver, as the owner of its partition, has written of a job.
-struct state_question
+struct job_state_query
 {
   std::uint64_t number = 0;
   std::string id;
 };
 
-struct state_reply
+struct job_state_reply
 {
   std::uint64_t number = 0;
   bool known = false;
@@ -164,13 +164,13 @@
 
 // The sender has taken the partition over as the owner `epoch`. Answered by an instance that knows
 // of that, and gives no orders for the partition as an earlier owner.
-struct orders_question
+struct previous_requests_query
 {
   std::string partition;
   std::uint64_t epoch = 0;
 };
 
-struct orders_reply
+struct previous_requests_reply
 {
   std::string partition;
   std::uint64_t epoch = 0;    // as asked
@@ -179,7 +179,8 @@
 
 using peer_message =
     std::variant<heartbeat, forward_request, forward_answer, config_push, config_pull, handover,
-                 advice_request, advice_reply, relay_request, relay_reply, job_notice, way_question,
-                 way_report, state_question, state_reply, strength_report, orders_question,
-                 orders_reply>;
+                 advice_request, advice_reply, relay_request, relay_reply, job_notice,
+                 store_reachability_query, store_reachability_report, job_state_query,
+                 job_state_reply, processor_capacity_report, previous_requests_query,
+                 previous_requests_reply>;
 } // namespace yardhill::common
--- a/Source/Core/Common/Resources.cpp
+++ b/Source/Core/Common/Resources.cpp
@@ -50,7 +50,7 @@
   return result;
 }
 
-resources larger_of(const resources& left, const resources& right)
+resources elementwise_max(const resources& left, const resources& right)
 {
   resources result;
   for (const dimension_entry& entry : k_dimensions)
--- a/Source/Core/Common/Resources.h
+++ b/Source/Core/Common/Resources.h
@@ -65,7 +65,7 @@
 };
 
 resources scaled(const resources& amount, double factor);
-resources larger_of(const resources& left, const resources& right);
+resources elementwise_max(const resources& left, const resources& right);
 
 // The share of `whole` that `part` takes in the dimension where it takes most, 0 to 1 (or above).
 double dominant_share(const resources& part, const resources& whole);
--- a/Source/Core/Common/PlayLog.h
+++ b/Source/Core/Common/SimulationLog.h
@@ -12,7 +12,7 @@
 namespace yardhill::common
 {
 // Like open_event_log, without a budget: a play writes a minute's lines within a second.
-void open_play_log(const std::string& process);
+void open_simulation_log(const std::string& process);
 // Each line bears this time as `at_ms`, until an empty clock is set.
-void set_play_clock(std::function<std::chrono::milliseconds()> clock);
+void set_simulation_clock(std::function<std::chrono::milliseconds()> clock);
 } // namespace yardhill::common
--- a/Source/Core/Decision/PartitionScheduler.cpp
+++ b/Source/Core/Decision/PartitionScheduler.cpp
@@ -156,9 +156,9 @@
 {
   const bool interactive = spec.kind == task_kind::interactive;
   const std::size_t ahead = interactive ? m_queue.size(task_kind::interactive) : m_queue.size();
-  const std::size_t most = interactive ? m_options.most_queued_interactive : m_options.most_queued;
+  const std::size_t most = interactive ? m_options.max_queued_interactive : m_options.max_queued;
   const duration wait = m_drain.expected_wait(ahead);
-  if (ahead >= most || m_tasks.size() - m_tasks.retained() >= m_options.most_queued * 2)
+  if (ahead >= most || m_tasks.size() - m_tasks.retained() >= m_options.max_queued * 2)
     return refuse(spec.id, refusal_reason::queue_full, "too many tasks wait here", "accept",
                   std::clamp(wait, k_least_come_back, k_most_come_back));
   if (interactive && spec.deadline > duration{0} && wait > spec.deadline)
--- a/Source/Core/Decision/PlacementPass.cpp
+++ b/Source/Core/Decision/PlacementPass.cpp
@@ -60,7 +60,7 @@
   for (auto& [team, line] : m_queue.of_kind(kind))
     cursors.push_back({&line, line.begin()});
   m_scanned = 0;
-  while (m_scanned < m_options.most_scanned)
+  while (m_scanned < m_options.max_scanned)
   {
     cursor* chosen = next_cursor(cursors);
     if (chosen == nullptr)
@@ -183,7 +183,7 @@
 {
   if (!allowed(task))
     return;
-  const bool patient = m_now - task.accepted_at < m_options.gang_patience;
+  const bool patient = m_now - task.accepted_at < m_options.gang_timeout;
   if (task.spec.kind == task_kind::gang && !patient && m_reserved_from == k_never)
     reserve_for(task);
   if (m_options.preempt && may_preempt(task))
--- a/Source/Core/Decision/TaskTable.cpp
+++ b/Source/Core/Decision/TaskTable.cpp
@@ -59,8 +59,8 @@
   while (!m_retained.empty())
   {
     const retained_entry& oldest = m_retained.front();
-    const bool over = m_retained.size() > m_options.most_retained ||
-                      m_retained_bytes > m_options.most_retained_bytes;
+    const bool over = m_retained.size() > m_options.max_retained ||
+                      m_retained_bytes > m_options.max_retained_bytes;
     // The latest one stays whatever its size: its answer may not have been fetched yet.
     if (oldest.until > now && (!over || m_retained.size() == 1))
       return;
--- a/Source/Core/Decision/WorkerLedger.cpp
+++ b/Source/Core/Decision/WorkerLedger.cpp
@@ -89,6 +89,6 @@
     m_room = k_no_room;
     return;
   }
-  m_room = m_capacity - larger_of(m_granted, m_measured);
+  m_room = m_capacity - elementwise_max(m_granted, m_measured);
 }
 } // namespace yardhill::decision
--- a/Source/Core/Gateway/HttpGateway.cpp
+++ b/Source/Core/Gateway/HttpGateway.cpp
@@ -177,7 +177,7 @@
                  "the body may have at most " + std::to_string(m_settings.most_body) + " bytes");
       return;
     }
-    if (waiting() >= m_settings.core.routing.most_pending)
+    if (waiting() >= m_settings.core.routing.max_pending_requests)
     {
       refuse_now(request, refusal_reason::queue_full, "too many requests are under way here");
       return;
--- a/Source/Core/Gateway/RequestReader.cpp
+++ b/Source/Core/Gateway/RequestReader.cpp
@@ -28,7 +28,7 @@
 {
   if (key.size() > k_most_key_bytes)
     in.problem("key", "is too long", "at most 200 bytes");
-  if (key.find(k_minted_mark) != std::string::npos)
+  if (key.find(k_generated_key_mark) != std::string::npos)
     in.problem("key", "holds a ~", "a key without ~");
 }
 
--- a/Source/Core/Instance/InstanceCore.h
+++ b/Source/Core/Instance/InstanceCore.h
@@ -73,13 +73,13 @@
   void receive(const instance_id&, const relay_request&, time_point) {}
   void receive(const instance_id&, const relay_reply&, time_point) {}
   void receive(const instance_id&, const job_notice&, time_point) {}
-  void receive(const instance_id&, const way_question&, time_point) {}
-  void receive(const instance_id&, const way_report&, time_point) {}
-  void receive(const instance_id&, const state_question&, time_point) {}
-  void receive(const instance_id&, const state_reply&, time_point) {}
-  void receive(const instance_id&, const strength_report&, time_point) {}
-  void receive(const instance_id&, const orders_question&, time_point) {}
-  void receive(const instance_id&, const orders_reply&, time_point) {}
+  void receive(const instance_id&, const store_reachability_query&, time_point) {}
+  void receive(const instance_id&, const store_reachability_report&, time_point) {}
+  void receive(const instance_id&, const job_state_query&, time_point) {}
+  void receive(const instance_id&, const job_state_reply&, time_point) {}
+  void receive(const instance_id&, const processor_capacity_report&, time_point) {}
+  void receive(const instance_id&, const previous_requests_query&, time_point) {}
+  void receive(const instance_id&, const previous_requests_reply&, time_point) {}
   void receive(const instance_id& peer, const heartbeat& message, time_point now);
   void receive(const instance_id& peer, const forward_request& message, time_point now);
   void receive(const instance_id& peer, const forward_answer& message, time_point now);
--- a/Source/Core/Instance/RequestRouter.cpp
+++ b/Source/Core/Instance/RequestRouter.cpp
@@ -40,7 +40,7 @@
 
 std::string request_router::mint_key()
 {
-  return m_zone.value + k_minted_mark + m_self.value + "-" + std::to_string(++m_minted);
+  return m_zone.value + k_generated_key_mark + m_self.value + "-" + std::to_string(++m_minted);
 }
 
 bool request_router::fill_spec(const caller_request& request, const cell_config& cell,
@@ -54,7 +54,7 @@
     spec.id = make_task_id(request.workload, request.key);
     refusal = turn_away(spec, refusal_reason::unknown_workload,
                         "no workload \"" + request.workload.value + "\" is declared", "accept",
-                        not_ready ? m_options.come_back : duration{0});
+                        not_ready ? m_options.retry_after_delay : duration{0});
     return false;
   }
   if (request.purpose == request_purpose::submit && workload->kind == task_kind::service)
@@ -95,14 +95,16 @@
   bool refused = !fill_spec(request, cell, made.spec, refusal);
   if (!refused && m_stopping)
   {
-    refusal = turn_away(made.spec, refusal_reason::instance_stopping,
-                        "this instance is stopping; ask another", "accept", m_options.come_back);
+    refusal =
+        turn_away(made.spec, refusal_reason::instance_stopping,
+                  "this instance is stopping; ask another", "accept", m_options.retry_after_delay);
     refused = true;
   }
-  if (!refused && m_pending.size() >= m_options.most_pending)
+  if (!refused && m_pending.size() >= m_options.max_pending_requests)
   {
-    refusal = turn_away(made.spec, refusal_reason::queue_full,
-                        "too many requests are under way here", "accept", m_options.come_back);
+    refusal =
+        turn_away(made.spec, refusal_reason::queue_full, "too many requests are under way here",
+                  "accept", m_options.retry_after_delay);
     refused = true;
   }
   if (refused)
@@ -142,7 +144,7 @@
   {
     send_answer(request, turn_away(request.spec, refusal_reason::zone_not_served,
                                    "the configuration here names no home for it", "route",
-                                   m_options.come_back));
+                                   m_options.retry_after_delay));
     return;
   }
   request.home = home_partition(request.spec.id, *zone);
@@ -160,7 +162,7 @@
 std::optional<instance_id> request_router::next_hop(const pending_request& request,
                                                     time_point now) const
 {
-  if (request.hops >= m_options.most_hops)
+  if (request.hops >= m_options.max_hops)
     return std::nullopt;
   if (std::optional<instance_id> owner = m_peers.owner_of(request.home, now))
     return owner;
@@ -189,7 +191,7 @@
     pass_back_not_owner(number, request.may_be_known);
     return;
   }
-  if (now >= request.arrived + m_options.owner_patience)
+  if (now >= request.arrived + m_options.no_owner_timeout)
   {
     give_up(number, now);
     return;
@@ -252,11 +254,11 @@
   if (known_nowhere)
     finish(number, refuse(request.spec.id, refusal_reason::no_owner,
                           "nobody owns " + to_text(request.home) + " at present", "route",
-                          m_options.come_back));
+                          m_options.retry_after_delay));
   else
     finish(number, unclear(request.spec.id, refusal_reason::owner_unreachable,
                            "the home " + to_text(request.home) + " cannot be reached", "route",
-                           m_options.come_back));
+                           m_options.retry_after_delay));
 }
 
 void request_router::home_replied(const decision::caller_reply& reply, time_point now)
@@ -403,9 +405,9 @@
     pending_request& request = found->second;
     if (now >= request.due)
     {
-      finish(number,
-             unclear(request.spec.id, refusal_reason::owner_unreachable,
-                     "no answer came in time; ask for its status", "route", m_options.come_back));
+      finish(number, unclear(request.spec.id, refusal_reason::owner_unreachable,
+                             "no answer came in time; ask for its status", "route",
+                             m_options.retry_after_delay));
       continue;
     }
     if (request.where == place::parked && now >= request.next_try)
--- a/Source/Core/Jobs/JobProgress.cpp
+++ b/Source/Core/Jobs/JobProgress.cpp
@@ -90,7 +90,8 @@
       row.insert(row.end(),
                  {history.crashes.blamed, history.crashes.unclear, history.crashes.announced,
                   history.crashes.announced_on, history.crashes.alone, history.crashes.unanswered,
-                  history.crashes.lost, history.crashes.by_chance, history.crashes.unjudged});
+                  history.crashes.lost, history.crashes.by_chance,
+                  history.crashes.unexplained_losses});
   }
   json begun = json::array();
   for (const auto& [step, zone] : progress.begun)
@@ -134,7 +135,7 @@
       if (task.size() > k_history_without_chance)
         history.crashes.by_chance = task.at(k_history_without_chance);
       if (task.size() > k_history_without_unjudged)
-        history.crashes.unjudged = task.at(k_history_without_unjudged);
+        history.crashes.unexplained_losses = task.at(k_history_without_unjudged);
     }
   }
   return progress;
--- a/Source/Core/Jobs/JobProgress.h
+++ b/Source/Core/Jobs/JobProgress.h
@@ -54,12 +54,12 @@
   std::uint32_t by_chance = 0;
   // Runs that were not announced and may have been lost with their workers, without any word on
   // what crashed these.
-  std::uint32_t unjudged = 0;
+  std::uint32_t unexplained_losses = 0;
 
   bool any() const
   {
     return !blamed.empty() || !unclear.empty() || announced != 0 || unanswered != 0 || lost ||
-           by_chance != 0 || unjudged != 0;
+           by_chance != 0 || unexplained_losses != 0;
   }
   void take_back()
   {
--- a/Source/Core/Jobs/JobSpec.cpp
+++ b/Source/Core/Jobs/JobSpec.cpp
@@ -36,13 +36,13 @@
   put(out, "one_rack", step.one_rack, false);
   put(out, "speculative", step.speculative, false);
   put(out, "long_running", step.long_running, false);
-  put(out, "fills", step.fills_idle, false);
+  put(out, "fills", step.uses_idle_cpu, false);
   put(out, "label", step.required_label, usual.required_label);
   put(out, "rack", step.data_rack, usual.data_rack);
-  put(out, "per_worker", step.most_per_worker, usual.most_per_worker);
+  put(out, "per_worker", step.max_tasks_per_worker, usual.max_tasks_per_worker);
   put(out, "image", step.image, usual.image);
-  put(out, "tail", step.tail_target.count(), usual.tail_target.count());
-  put(out, "unavailable", step.most_unavailable, usual.most_unavailable);
+  put(out, "tail", step.tail_latency_target.count(), usual.tail_latency_target.count());
+  put(out, "unavailable", step.max_unavailable, usual.max_unavailable);
   put(out, "limits_unavailable", step.limits_unavailable, false);
   return out;
 }
@@ -61,13 +61,13 @@
   step.one_rack = in.value("one_rack", false);
   step.speculative = in.value("speculative", false);
   step.long_running = in.value("long_running", false);
-  step.fills_idle = in.value("fills", false);
+  step.uses_idle_cpu = in.value("fills", false);
   step.required_label = in.value("label", std::string());
   step.data_rack = in.value("rack", std::string());
-  step.most_per_worker = in.value("per_worker", 0U);
+  step.max_tasks_per_worker = in.value("per_worker", 0U);
   step.image = in.value("image", std::string());
-  step.tail_target = milliseconds(in.value("tail", std::int64_t{0}));
-  step.most_unavailable = in.value("unavailable", 0U);
+  step.tail_latency_target = milliseconds(in.value("tail", std::int64_t{0}));
+  step.max_unavailable = in.value("unavailable", 0U);
   step.limits_unavailable = in.value("limits_unavailable", false);
   return step;
 }
@@ -118,14 +118,14 @@
          !steps.front().gang && steps.front().count >= partitions;
 }
 
-std::optional<std::string> first_mistake(const job_spec& spec)
+std::optional<std::string> validation_error(const job_spec& spec)
 {
-  if (spec.payload.size() > k_most_payload)
-    return "the payload is longer than " + std::to_string(k_most_payload) + " bytes";
-  if (spec.steps.empty() || spec.steps.size() > k_most_steps)
-    return "a job has 1 to " + std::to_string(k_most_steps) + " steps";
-  if (spec.repeats > k_most_cycles)
-    return "a job has at most " + std::to_string(k_most_cycles) + " repetitions";
+  if (spec.payload.size() > k_max_payload_bytes)
+    return "the payload is longer than " + std::to_string(k_max_payload_bytes) + " bytes";
+  if (spec.steps.empty() || spec.steps.size() > k_max_steps)
+    return "a job has 1 to " + std::to_string(k_max_steps) + " steps";
+  if (spec.repeats > k_max_cycles)
+    return "a job has at most " + std::to_string(k_max_cycles) + " repetitions";
   std::uint64_t tasks = 0;
   for (std::size_t i = 0; i < spec.steps.size(); ++i)
   {
@@ -138,14 +138,14 @@
     }
     tasks += spec.steps[i].count;
   }
-  if (tasks > k_most_tasks)
-    return "a job has at most " + std::to_string(k_most_tasks) + " tasks";
+  if (tasks > k_max_tasks)
+    return "a job has at most " + std::to_string(k_max_tasks) + " tasks";
   if (has_cycle(spec.steps))
     return "the steps depend on each other in a circle";
   return std::nullopt;
 }
 
-std::vector<milliseconds> chains_from(const std::vector<step_spec>& steps)
+std::vector<milliseconds> critical_paths_from(const std::vector<step_spec>& steps)
 {
   std::vector<milliseconds> chains;
   chains.reserve(steps.size());
@@ -163,16 +163,16 @@
   return chains;
 }
 
-milliseconds longest_chain(const std::vector<step_spec>& steps)
+milliseconds critical_path_length(const std::vector<step_spec>& steps)
 {
-  const std::vector<milliseconds> chains = chains_from(steps);
+  const std::vector<milliseconds> chains = critical_paths_from(steps);
   return chains.empty() ? milliseconds{0} : *std::max_element(chains.begin(), chains.end());
 }
 
 milliseconds latency_objective(const queue_policy& policy, const std::vector<step_spec>& steps)
 {
   return policy.latency_target +
-         std::chrono::duration_cast<milliseconds>(longest_chain(steps) * policy.stretch);
+         std::chrono::duration_cast<milliseconds>(critical_path_length(steps) * policy.stretch);
 }
 
 std::string to_row_text(const accepted_job& job)
--- a/Source/Core/Jobs/JobSpec.h
+++ b/Source/Core/Jobs/JobSpec.h
@@ -32,14 +32,14 @@
   bool one_rack = false;      // slower when spread over several racks
   bool speculative = false;   // copies may run beside each other
   bool long_running = false;  // runs until the job is cancelled
-  bool fills_idle = false;    // takes processor time that others leave; not counted in the room
+  bool uses_idle_cpu = false; // takes processor time that others leave; not counted in the room
   std::string required_label; // of the worker; empty: any
   std::string data_rack;      // slower anywhere else; empty: nowhere slower
-  std::uint32_t most_per_worker = 0;  // tasks of this step on one worker; 0: any number
-  std::string image;                  // what the tasks run; like images behave alike
-  milliseconds tail_target{0};        // of a serving task's own answers; 0: none
-  std::uint32_t most_unavailable = 0; // tasks of a long-running step that may be away by our doing
-  bool limits_unavailable = false;    // whether most_unavailable was given
+  std::uint32_t max_tasks_per_worker = 0; // tasks of this step on one worker; 0: any number
+  std::string image;                      // what the tasks run; like images behave alike
+  milliseconds tail_latency_target{0};    // of a serving task's own answers; 0: none
+  std::uint32_t max_unavailable = 0; // tasks of a long-running step that may be away by our doing
+  bool limits_unavailable = false;   // whether max_unavailable was given
 };
 
 struct job_spec
@@ -106,18 +106,18 @@
 
 // The most steps and tasks that one job may have; beyond it a job is refused as malformed. Ten
 // times the widest job of the sites' sheets, so that no caller's mistake fills an instance.
-inline constexpr std::size_t k_most_steps = 64;
-inline constexpr std::uint32_t k_most_tasks = 4000;
-inline constexpr std::uint32_t k_most_cycles = 1000;
-inline constexpr std::size_t k_most_payload = 4000; // bytes; the platform's limit
+inline constexpr std::size_t k_max_steps = 64;
+inline constexpr std::uint32_t k_max_tasks = 4000;
+inline constexpr std::uint32_t k_max_cycles = 1000;
+inline constexpr std::size_t k_max_payload_bytes = 4000; // bytes; the platform's limit
 
 // Why the job cannot be taken; none for a sound one.
-std::optional<std::string> first_mistake(const job_spec& spec);
+std::optional<std::string> validation_error(const job_spec& spec);
 
 // For each step, the longest chain of estimated work that begins with it.
-std::vector<milliseconds> chains_from(const std::vector<step_spec>& steps);
+std::vector<milliseconds> critical_paths_from(const std::vector<step_spec>& steps);
 // The longest chain of estimated work through the steps.
-milliseconds longest_chain(const std::vector<step_spec>& steps);
+milliseconds critical_path_length(const std::vector<step_spec>& steps);
 // From its acceptance, when a job of these steps should be complete to be worth its full credit.
 milliseconds latency_objective(const queue_policy& policy, const std::vector<step_spec>& steps);
 // A job that ends within this many times its objective is still worth a part of its credit.
--- a/Source/Core/Load/LoadReport.cpp
+++ b/Source/Core/Load/LoadReport.cpp
@@ -59,7 +59,7 @@
     return;
   const common::duration took = *job.ended - job.planned->at;
   report.to_end.push_back(took);
-  report.late += took > deadline + jobs::longest_chain(job.planned->spec.steps) ? 1 : 0;
+  report.late += took > deadline + jobs::critical_path_length(job.planned->spec.steps) ? 1 : 0;
 }
 } // namespace
 
--- a/Source/Core/Load/YardFile.cpp
+++ b/Source/Core/Load/YardFile.cpp
@@ -28,7 +28,7 @@
 {
   yard_step step;
   jobs::step_spec& spec = step.spec;
-  spec.count = static_cast<std::uint32_t>(in.integer("count", {1, jobs::k_most_tasks}));
+  spec.count = static_cast<std::uint32_t>(in.integer("count", {1, jobs::k_max_tasks}));
   spec.demand.cpu_millis = in.integer("cpu_millis", {1, k_most_millis});
   spec.demand.memory_mib = in.memory_mib("memory");
   spec.estimate = span_in(in, "estimate");
@@ -40,7 +40,7 @@
   if (in.has("most_unavailable"))
   {
     spec.limits_unavailable = true;
-    spec.most_unavailable =
+    spec.max_unavailable =
         static_cast<std::uint32_t>(in.integer("most_unavailable", {0, spec.count}));
   }
   in.finish();
--- a/Source/Core/Model/CallerModel.cpp
+++ b/Source/Core/Model/CallerModel.cpp
@@ -62,8 +62,8 @@
                      {wire::k_checkpointing, step.checkpointing}});
   for (std::size_t i = 0; i < spec.steps.size(); ++i)
   {
-    if (spec.steps[i].most_per_worker > 0)
-      steps[i][wire::k_most_per_worker] = spec.steps[i].most_per_worker;
+    if (spec.steps[i].max_tasks_per_worker > 0)
+      steps[i][wire::k_most_per_worker] = spec.steps[i].max_tasks_per_worker;
   }
   return json{{wire::k_payload, spec.payload}, {wire::k_steps, std::move(steps)}}.dump();
 }
--- a/Source/Core/Model/CellExplorer.cpp
+++ b/Source/Core/Model/CellExplorer.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "Common/EventLog.h"
-#include "Common/PlayLog.h"
+#include "Common/SimulationLog.h"
 #include "Model/CancelJudge.h"
 #include "Model/CellTroubles.h"
 #include "Model/CountJudge.h"
@@ -48,7 +48,7 @@
 public:
   explicit logged_time(explored_cell& cell)
   {
-    common::set_play_clock(
+    common::set_simulation_clock(
         [&cell]
         {
           return std::chrono::duration_cast<std::chrono::milliseconds>(cell.time().now() -
@@ -58,7 +58,7 @@
   ~logged_time()
   {
     common::flush_event_log();
-    common::set_play_clock(nullptr);
+    common::set_simulation_clock(nullptr);
   }
   logged_time(const logged_time&) = delete;
   logged_time& operator=(const logged_time&) = delete;
--- a/Source/Core/Node/Admission.cpp
+++ b/Source/Core/Node/Admission.cpp
@@ -13,7 +13,7 @@
     return std::nullopt;
   const std::chrono::milliseconds latest_start =
       jobs::k_late_factor * jobs::latency_objective(policy, spec.steps) -
-      jobs::longest_chain(spec.steps);
+      jobs::critical_path_length(spec.steps);
   if (told->second <= latest_start)
     return std::nullopt;
   return told->second - latest_start;
--- a/Source/Core/Node/CallerGateway.cpp
+++ b/Source/Core/Node/CallerGateway.cpp
@@ -161,7 +161,7 @@
   if (how.status == 503 || how.status == 504)
   {
     const std::uint32_t priority = what.route ? what.route->policy.priority : 0;
-    const auto after = how.come_back.value_or(come_back_after(priority, what.id));
+    const auto after = how.retry_after_delay.value_or(come_back_after(priority, what.id));
     answer.headers.emplace_back("Retry-After", std::to_string(after.count()));
   }
   // The caller's next try then opens a connection, which the platform takes elsewhere.
--- a/Source/Core/Node/CallerGateway.h
+++ b/Source/Core/Node/CallerGateway.h
@@ -67,7 +67,7 @@
     common::refusal_reason why = common::refusal_reason::none;
     std::string detail;
     row_evidence evidence = row_evidence::none;
-    std::optional<std::chrono::seconds> come_back = std::nullopt; // none: the usual time
+    std::optional<std::chrono::seconds> retry_after_delay = std::nullopt; // none: the usual time
   };
 
   bool may_serve() const { return m_queues.version != 0 && !m_partitions.empty(); }
--- a/Source/Core/Node/ConfigurationWatch.cpp
+++ b/Source/Core/Node/ConfigurationWatch.cpp
@@ -28,7 +28,7 @@
 {
 }
 
-void configuration_watch::peer_told(const common::way_report& report)
+void configuration_watch::peer_told(const common::store_reachability_report& report)
 {
   if (report.has_way)
     m_peer_reached_at = m_time.now();
--- a/Source/Core/Node/ConfigurationWatch.h
+++ b/Source/Core/Node/ConfigurationWatch.h
@@ -28,7 +28,7 @@
   configuration_watch(common::timekeeper& time, const table_feed& feed, const store_path& path,
                       const jobs::queue_table& queues, common::duration limit);
 
-  void peer_told(const common::way_report& report);
+  void peer_told(const common::store_reachability_report& report);
   // For peers: the version that is certain to be the newest; 0 if none is.
   std::uint64_t newest() const;
   // Whether a peer knows a newer version than the one in force here.
--- a/Source/Core/Node/EarlierOrders.cpp
+++ b/Source/Core/Node/EarlierOrders.cpp
@@ -45,10 +45,10 @@
   if (m_instance.empty() || now >= m_end || now - m_last_asked < k_ask_period)
     return;
   m_last_asked = now;
-  m_send_to_peer(m_instance, common::orders_question{m_partition, m_epoch});
+  m_send_to_peer(m_instance, common::previous_requests_query{m_partition, m_epoch});
 }
 
-bool earlier_orders::on_reply(const std::string& peer, const common::orders_reply& reply)
+bool earlier_orders::on_reply(const std::string& peer, const common::previous_requests_reply& reply)
 {
   if (peer != m_instance || reply.partition != m_partition || reply.epoch != m_epoch)
     return false;
--- a/Source/Core/Node/EarlierOrders.h
+++ b/Source/Core/Node/EarlierOrders.h
@@ -39,7 +39,7 @@
   // owner.
   void tick();
   // Whether the end is earlier than it was.
-  bool on_reply(const std::string& peer, const common::orders_reply& reply);
+  bool on_reply(const std::string& peer, const common::previous_requests_reply& reply);
 
 private:
   const common::timekeeper& m_time;
--- a/Source/Core/Node/NodeCore.cpp
+++ b/Source/Core/Node/NodeCore.cpp
@@ -167,7 +167,7 @@
   common::log_process("peer_linked", {{"peer", peer}, {"zone", zone}});
   m_peers.linked(peer, zone);
   m_linked.insert(peer);
-  m_world.send_to_peer(peer, common::strength_report{shared_millis(owned())});
+  m_world.send_to_peer(peer, common::processor_capacity_report{shared_millis(owned())});
 }
 
 void node_core::peer_unlinked(const std::string& peer)
@@ -197,11 +197,11 @@
 void node_core::peer_received(const std::string& peer, const common::peer_message& message)
 {
   m_peers.heard(peer);
-  if (const auto* question = std::get_if<common::way_question>(&message))
+  if (const auto* question = std::get_if<common::store_reachability_query>(&message))
     m_peers.on_question(peer, *question, {!m_store_path.in_doubt(), m_configuration.newest()});
-  else if (const auto* report = std::get_if<common::way_report>(&message))
+  else if (const auto* report = std::get_if<common::store_reachability_report>(&message))
     on_way_report(peer, *report);
-  else if (const auto* strength = std::get_if<common::strength_report>(&message))
+  else if (const auto* strength = std::get_if<common::processor_capacity_report>(&message))
     m_peers.on_strength(peer, *strength);
   else if (const auto* request = std::get_if<common::advice_request>(&message))
     m_advice.on_request(peer, *request);
@@ -211,16 +211,16 @@
     m_store_path.on_request(peer, *call);
   else if (const auto* answer = std::get_if<common::relay_reply>(&message))
     m_store_path.on_reply(peer, *answer);
-  else if (const auto* state = std::get_if<common::state_question>(&message))
+  else if (const auto* state = std::get_if<common::job_state_query>(&message))
     m_states.on_question(peer, *state);
-  else if (const auto* known = std::get_if<common::state_reply>(&message))
+  else if (const auto* known = std::get_if<common::job_state_reply>(&message))
     m_states.on_reply(peer, *known);
-  else if (const auto* orders = std::get_if<common::orders_question>(&message))
+  else if (const auto* orders = std::get_if<common::previous_requests_query>(&message))
   {
     for (const auto& each : m_partitions)
       each->on_orders_question(peer, *orders);
   }
-  else if (const auto* quiet = std::get_if<common::orders_reply>(&message))
+  else if (const auto* quiet = std::get_if<common::previous_requests_reply>(&message))
   {
     for (const auto& each : m_partitions)
       each->on_orders_reply(peer, *quiet);
@@ -232,7 +232,8 @@
   }
 }
 
-void node_core::on_way_report(const std::string& peer, const common::way_report& report)
+void node_core::on_way_report(const std::string& peer,
+                              const common::store_reachability_report& report)
 {
   m_peers.on_report(peer, report);
   m_configuration.peer_told(report);
--- a/Source/Core/Node/NodeCore.h
+++ b/Source/Core/Node/NodeCore.h
@@ -71,7 +71,7 @@
 private:
   void peer_reachable(const std::string& peer);
   void peer_unreachable(const std::string& peer);
-  void on_way_report(const std::string& peer, const common::way_report& report);
+  void on_way_report(const std::string& peer, const common::store_reachability_report& report);
   void on_operator_rows(const std::vector<adapter::row>& rows);
   void take_configuration(const adapter::row& row);
   // A peer knows a newer one, and the direct way to the store does not bring it: it is read through
--- a/Source/Core/Node/NodeCoreLayout.cpp
+++ b/Source/Core/Node/NodeCoreLayout.cpp
@@ -130,6 +130,6 @@
 {
   m_told_strength = shared_millis(owned());
   for (const std::string& peer : m_linked)
-    m_world.send_to_peer(peer, common::strength_report{m_told_strength});
+    m_world.send_to_peer(peer, common::processor_capacity_report{m_told_strength});
 }
 } // namespace yardhill::node
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -117,7 +117,7 @@
 }
 
 void partition_owner::on_orders_question(const std::string& peer,
-                                         const common::orders_question& question)
+                                         const common::previous_requests_query& question)
 {
   // While this instance takes the partition over, an answer to an earlier takeover may still come.
   // Whoever has seen the later owner's row never becomes an earlier owner.
@@ -126,11 +126,13 @@
     return;
   const auto quiet =
       std::chrono::floor<std::chrono::milliseconds>(m_parts.time.now() - m_quiet_since);
-  m_parts.send_to_peer(peer, common::orders_reply{m_partition, question.epoch,
-                                                  static_cast<std::uint64_t>(quiet.count())});
+  m_parts.send_to_peer(peer,
+                       common::previous_requests_reply{m_partition, question.epoch,
+                                                       static_cast<std::uint64_t>(quiet.count())});
 }
 
-void partition_owner::on_orders_reply(const std::string& peer, const common::orders_reply& reply)
+void partition_owner::on_orders_reply(const std::string& peer,
+                                      const common::previous_requests_reply& reply)
 {
   if (m_earlier.on_reply(peer, reply) && m_scheduler)
     m_scheduler->bring_earlier_end_forward(earlier_leases_end());
--- a/Source/Core/Node/PartitionOwner.h
+++ b/Source/Core/Node/PartitionOwner.h
@@ -105,8 +105,8 @@
   void job_cancelled_here(const std::string& id);
   void on_notice(const common::job_notice& notice);
   // A later owner asks whether this instance still gives orders; the answer to such a question.
-  void on_orders_question(const std::string& peer, const common::orders_question& question);
-  void on_orders_reply(const std::string& peer, const common::orders_reply& reply);
+  void on_orders_question(const std::string& peer, const common::previous_requests_query& question);
+  void on_orders_reply(const std::string& peer, const common::previous_requests_reply& reply);
   // What is written of a job here; nothing if this instance does not own it or does not know it, or
   // while the store may know more.
   std::optional<jobs::job_state> written_state(const std::string& id) const;
--- a/Source/Core/Node/PeerMonitor.cpp
+++ b/Source/Core/Node/PeerMonitor.cpp
@@ -80,8 +80,9 @@
   m_events.reachable(name);
 }
 
-void peer_monitor::on_question(const std::string& name, const common::way_question& question,
-                               const common::way_report& own)
+void peer_monitor::on_question(const std::string& name,
+                               const common::store_reachability_query& question,
+                               const common::store_reachability_report& own)
 {
   const auto found = m_peers.find(name);
   if (found != m_peers.end())
@@ -92,7 +93,8 @@
   m_send(name, own);
 }
 
-void peer_monitor::on_report(const std::string& name, const common::way_report& report)
+void peer_monitor::on_report(const std::string& name,
+                             const common::store_reachability_report& report)
 {
   const auto found = m_peers.find(name);
   if (found == m_peers.end())
@@ -101,7 +103,8 @@
   found->second.has_way = report.has_way;
 }
 
-void peer_monitor::on_strength(const std::string& name, const common::strength_report& report)
+void peer_monitor::on_strength(const std::string& name,
+                               const common::processor_capacity_report& report)
 {
   const auto found = m_peers.find(name);
   if (found != m_peers.end())
@@ -139,7 +142,7 @@
   }
 }
 
-common::way_question peer_monitor::question(bool often, common::time_point now) const
+common::store_reachability_query peer_monitor::question(bool often, common::time_point now) const
 {
   const auto late = std::chrono::floor<std::chrono::milliseconds>(m_ticks.longest(now));
   return {often, static_cast<std::uint32_t>(late.count())};
--- a/Source/Core/Node/PeerMonitor.h
+++ b/Source/Core/Node/PeerMonitor.h
@@ -54,10 +54,10 @@
   // Any message of the peer shows that it lives.
   void heard(const std::string& peer);
   // `own`: what this instance says of itself.
-  void on_question(const std::string& peer, const common::way_question& question,
-                   const common::way_report& own);
-  void on_report(const std::string& peer, const common::way_report& report);
-  void on_strength(const std::string& peer, const common::strength_report& report);
+  void on_question(const std::string& peer, const common::store_reachability_query& question,
+                   const common::store_reachability_report& own);
+  void on_report(const std::string& peer, const common::store_reachability_report& report);
+  void on_strength(const std::string& peer, const common::processor_capacity_report& report);
   // The peer has just turned a relayed call away, or left it unanswered.
   void avoid(const std::string& peer);
 
@@ -95,7 +95,7 @@
     std::chrono::milliseconds told_late{0};     // by itself
   };
 
-  common::way_question question(bool often, common::time_point now) const;
+  common::store_reachability_query question(bool often, common::time_point now) const;
   void ask(common::time_point now, bool owner, bool in_doubt);
   void ask_one(const std::string& name, peer& each, bool often, common::time_point now);
   void ask_as_owner(common::time_point now);
--- a/Source/Core/Node/StateDesk.cpp
+++ b/Source/Core/Node/StateDesk.cpp
@@ -29,7 +29,7 @@
   }
   const std::uint64_t number = ++m_number;
   m_asked[number] = {holder, std::move(done), m_time.now() + k_answer_time};
-  m_send(holder, common::state_question{number, id});
+  m_send(holder, common::job_state_query{number, id});
 }
 
 void state_desk::peer_reachable(const std::string& peer)
@@ -47,9 +47,9 @@
   }
 }
 
-void state_desk::on_question(const std::string& peer, const common::state_question& question)
+void state_desk::on_question(const std::string& peer, const common::job_state_query& question)
 {
-  common::state_reply reply;
+  common::job_state_reply reply;
   reply.number = question.number;
   for (const auto& each : m_partitions)
   {
@@ -62,7 +62,7 @@
   m_send(peer, reply);
 }
 
-void state_desk::on_reply(const std::string& peer, const common::state_reply& reply)
+void state_desk::on_reply(const std::string& peer, const common::job_state_reply& reply)
 {
   const auto found = m_asked.find(reply.number);
   if (found == m_asked.end() || found->second.peer != peer)
--- a/Source/Core/Node/StateDesk.h
+++ b/Source/Core/Node/StateDesk.h
@@ -38,8 +38,8 @@
 
   void peer_reachable(const std::string& peer);
   void peer_unreachable(const std::string& peer);
-  void on_question(const std::string& peer, const common::state_question& question);
-  void on_reply(const std::string& peer, const common::state_reply& reply);
+  void on_question(const std::string& peer, const common::job_state_query& question);
+  void on_reply(const std::string& peer, const common::job_state_reply& reply);
   void tick(common::time_point now);
 
 private:
--- a/Source/Core/Ownership/PartitionOwnership.cpp
+++ b/Source/Core/Ownership/PartitionOwnership.cpp
@@ -94,7 +94,7 @@
 void partition_ownership::begin_probing(time_point now)
 {
   m_phase = ownership_phase::probing;
-  m_phase_ends = now + m_options.probe_time;
+  m_phase_ends = now + m_options.probe_duration;
   m_probe.clear();
   send(m_claims.probes());
 }
--- a/Source/Core/Ownership/PartitionStore.cpp
+++ b/Source/Core/Ownership/PartitionStore.cpp
@@ -19,7 +19,7 @@
       m_open(m_rows),
       m_ended(m_rows, options),
       m_pace(std::move(self), options),
-      m_commit_pause(options.commit_soon)
+      m_commit_pause(options.urgent_commit_delay)
 {
 }
 
--- a/Source/Core/Ownership/WriteQueue.cpp
+++ b/Source/Core/Ownership/WriteQueue.cpp
@@ -36,7 +36,8 @@
 
 void write_queue::append(const record_write& write, time_point now)
 {
-  const duration window = is_awaited(write) ? m_options.commit_soon : m_options.commit_late;
+  const duration window =
+      is_awaited(write) ? m_options.urgent_commit_delay : m_options.deferred_commit_delay;
   m_due = std::min(m_due, now + window);
   m_pending.push_back({write, now, false});
 }
@@ -68,7 +69,7 @@
 void write_queue::fill_batch()
 {
   m_batch_maybe_written = false;
-  while (!m_pending.empty() && m_batch.size() < m_options.most_batch)
+  while (!m_pending.empty() && m_batch.size() < m_options.max_records_per_transaction)
   {
     m_batch.push_back(std::move(m_pending.front()));
     m_pending.pop_front();
--- a/Source/Core/Peer/FrameCodec.cpp
+++ b/Source/Core/Peer/FrameCodec.cpp
@@ -196,7 +196,7 @@
   return to;
 }
 
-wire::WayQuestionT to_wire(const way_question& from)
+wire::WayQuestionT to_wire(const store_reachability_query& from)
 {
   wire::WayQuestionT to;
   to.often = from.often;
@@ -204,7 +204,7 @@
   return to;
 }
 
-wire::WayReportT to_wire(const way_report& from)
+wire::WayReportT to_wire(const store_reachability_report& from)
 {
   wire::WayReportT to;
   to.has_way = from.has_way;
@@ -212,14 +212,14 @@
   return to;
 }
 
-wire::StrengthReportT to_wire(const strength_report& from)
+wire::StrengthReportT to_wire(const processor_capacity_report& from)
 {
   wire::StrengthReportT to;
   to.processor_millis = from.processor_millis;
   return to;
 }
 
-wire::OrdersQuestionT to_wire(const orders_question& from)
+wire::OrdersQuestionT to_wire(const previous_requests_query& from)
 {
   wire::OrdersQuestionT to;
   to.partition = from.partition;
@@ -227,7 +227,7 @@
   return to;
 }
 
-wire::OrdersReplyT to_wire(const orders_reply& from)
+wire::OrdersReplyT to_wire(const previous_requests_reply& from)
 {
   wire::OrdersReplyT to;
   to.partition = from.partition;
@@ -236,7 +236,7 @@
   return to;
 }
 
-wire::StateQuestionT to_wire(const state_question& from)
+wire::StateQuestionT to_wire(const job_state_query& from)
 {
   wire::StateQuestionT to;
   to.number = from.number;
@@ -244,7 +244,7 @@
   return to;
 }
 
-wire::StateReplyT to_wire(const state_reply& from)
+wire::StateReplyT to_wire(const job_state_reply& from)
 {
   wire::StateReplyT to;
   to.number = from.number;
@@ -446,32 +446,33 @@
     return peer_message{job_notice{notice.id, notice.row, notice.version}};
   }
   case wire::Message::WayQuestion:
-    return peer_message{way_question{parsed.message.AsWayQuestion()->often,
-                                     parsed.message.AsWayQuestion()->late_ms}};
+    return peer_message{store_reachability_query{parsed.message.AsWayQuestion()->often,
+                                                 parsed.message.AsWayQuestion()->late_ms}};
   case wire::Message::WayReport:
-    return peer_message{way_report{parsed.message.AsWayReport()->has_way,
-                                   parsed.message.AsWayReport()->newest_config}};
+    return peer_message{store_reachability_report{parsed.message.AsWayReport()->has_way,
+                                                  parsed.message.AsWayReport()->newest_config}};
   case wire::Message::StateQuestion:
   {
     const wire::StateQuestionT& question = *parsed.message.AsStateQuestion();
-    return peer_message{state_question{question.number, question.id}};
+    return peer_message{job_state_query{question.number, question.id}};
   }
   case wire::Message::StateReply:
   {
     const wire::StateReplyT& reply = *parsed.message.AsStateReply();
-    return peer_message{state_reply{reply.number, reply.known, reply.state}};
+    return peer_message{job_state_reply{reply.number, reply.known, reply.state}};
   }
   case wire::Message::StrengthReport:
-    return peer_message{strength_report{parsed.message.AsStrengthReport()->processor_millis}};
+    return peer_message{
+        processor_capacity_report{parsed.message.AsStrengthReport()->processor_millis}};
   case wire::Message::OrdersQuestion:
   {
     const wire::OrdersQuestionT& question = *parsed.message.AsOrdersQuestion();
-    return peer_message{orders_question{question.partition, question.epoch}};
+    return peer_message{previous_requests_query{question.partition, question.epoch}};
   }
   case wire::Message::OrdersReply:
   {
     const wire::OrdersReplyT& reply = *parsed.message.AsOrdersReply();
-    return peer_message{orders_reply{reply.partition, reply.epoch, reply.quiet_ms}};
+    return peer_message{previous_requests_reply{reply.partition, reply.epoch, reply.quiet_ms}};
   }
   case wire::Message::NONE:
     return std::nullopt;
--- a/Source/Core/Replay/PackingMeter.cpp
+++ b/Source/Core/Replay/PackingMeter.cpp
@@ -25,7 +25,7 @@
   m_sums.processors += processors;
   m_sums.memory += memory;
   m_sums.peak_processors = std::max(m_sums.peak_processors, processors);
-  m_sums.most_queued = std::max(m_sums.most_queued, queued);
+  m_sums.max_queued = std::max(m_sums.max_queued, queued);
   if (queued == 0)
     return;
   ++m_sums.backlogged_samples;
--- a/Source/Core/Replay/PackingMeter.h
+++ b/Source/Core/Replay/PackingMeter.h
@@ -22,7 +22,7 @@
   // While tasks waited: the part of the scarcest resource, and over how many samples.
   double backlogged = 0;
   std::size_t backlogged_samples = 0;
-  std::size_t most_queued = 0; // tasks
+  std::size_t max_queued = 0; // tasks
 };
 
 class packing_meter
--- a/Source/Core/Scheduling/CrashWatch.cpp
+++ b/Source/Core/Scheduling/CrashWatch.cpp
@@ -93,7 +93,7 @@
 
 std::size_t lost_starts(const jobs::crash_history& crashes)
 {
-  return counts_of(crashes) + crashes.unanswered + crashes.by_chance + crashes.unjudged;
+  return counts_of(crashes) + crashes.unanswered + crashes.by_chance + crashes.unexplained_losses;
 }
 
 bool suspected(const jobs::crash_history& crashes)
@@ -211,7 +211,7 @@
     may_be_lost(*job, each.place);
     if (crashed && !each.how && !announced)
     {
-      ++crashes.unjudged;
+      ++crashes.unexplained_losses;
       m_state.mark_dirty(*job);
     }
     if (each.how || announced)
@@ -249,7 +249,7 @@
                        {"unclear", crashes.unclear.size()},
                        {"unanswered", crashes.unanswered},
                        {"by_chance", crashes.by_chance},
-                       {"unjudged", crashes.unjudged},
+                       {"unjudged", crashes.unexplained_losses},
                        {"alone", crashes.alone}});
   if (how != verdict::by_chance)
     note_loss({{job.id(), place}, run, worker, how, alone, now});
@@ -373,7 +373,7 @@
   jobs::crash_history& crashes = job.task(place).crashes;
   if (crashes.announced != 0 || lost_starts(crashes) > 0)
     return;
-  crashes.unjudged = 1;
+  crashes.unexplained_losses = 1;
   m_state.mark_dirty(job);
 }
 
--- a/Source/Core/Scheduling/Evacuator.cpp
+++ b/Source/Core/Scheduling/Evacuator.cpp
@@ -50,8 +50,8 @@
   }
   // Owners that share a job do not know how many of each other's tasks are away.
   if (run.job->shared())
-    return away >= m_state.options.share.of_amount(step.spec->most_unavailable);
-  return away >= std::max(1U, step.spec->most_unavailable);
+    return away >= m_state.options.share.of_amount(step.spec->max_unavailable);
+  return away >= std::max(1U, step.spec->max_unavailable);
 }
 
 void evacuator::evacuate(worker_record& worker, time_point now)
--- a/Source/Core/Scheduling/JobRecord.cpp
+++ b/Source/Core/Scheduling/JobRecord.cpp
@@ -34,7 +34,7 @@
 
 void job_record::set_times()
 {
-  m_chains = jobs::chains_from(m_job.spec.steps);
+  m_chains = jobs::critical_paths_from(m_job.spec.steps);
   const duration allowed = jobs::latency_objective(m_policy, m_job.spec.steps);
   m_objective = m_accepted_at + allowed;
   m_worthless = m_accepted_at + allowed * jobs::k_late_factor;
--- a/Source/Core/Scheduling/Placer.cpp
+++ b/Source/Core/Scheduling/Placer.cpp
@@ -156,8 +156,8 @@
   const step_record& step = job.cycles()[place.cycle].steps[place.step];
   if (!worker.foreign.empty() || !room_of(*step.spec).fits_in(worker.free()))
     return false;
-  return step.spec->most_per_worker == 0 ||
-         worker.tasks_of(job, place.cycle, place.step) < step.spec->most_per_worker;
+  return step.spec->max_tasks_per_worker == 0 ||
+         worker.tasks_of(job, place.cycle, place.step) < step.spec->max_tasks_per_worker;
 }
 
 // The fullest worker that still has room, so that others keep room for large tasks. For a task that
--- a/Source/Core/Scheduling/SchedulerState.cpp
+++ b/Source/Core/Scheduling/SchedulerState.cpp
@@ -85,7 +85,7 @@
 
 bool scheduler_state::overdue(const run_record& run, time_point now) const
 {
-  if (run.spec().long_running || run.spec().fills_idle || run.spec().estimate.count() <= 0)
+  if (run.spec().long_running || run.spec().uses_idle_cpu || run.spec().estimate.count() <= 0)
     return false;
   return now - run.begun > runtimes.longest(run.job->accepted().queue, run.spec().estimate);
 }
--- a/Source/Core/Scheduling/WorkerRecord.cpp
+++ b/Source/Core/Scheduling/WorkerRecord.cpp
@@ -75,7 +75,7 @@
 common::resources room_of(const jobs::step_spec& step)
 {
   common::resources room = step.demand;
-  if (step.fills_idle)
+  if (step.uses_idle_cpu)
     room.cpu_millis = 0;
   return room;
 }
--- a/Source/Core/Scheduling/ZoneChooser.cpp
+++ b/Source/Core/Scheduling/ZoneChooser.cpp
@@ -61,10 +61,10 @@
   const cycle_record& in = job.cycles()[cycle];
   const step_record& record = in.steps[step];
   const jobs::step_spec& spec = *record.spec;
-  if (spec.gang || spec.long_running || spec.fills_idle || has_time(job, step, now))
+  if (spec.gang || spec.long_running || spec.uses_idle_cpu || has_time(job, step, now))
     return {};
   const std::uint32_t wanted = spec.count * k_room_factor;
-  const std::uint32_t most = spec.most_per_worker == 0 ? wanted : spec.most_per_worker;
+  const std::uint32_t most = spec.max_tasks_per_worker == 0 ? wanted : spec.max_tasks_per_worker;
   std::map<std::string, std::uint32_t> room; // by zone, in tasks
   for (const auto& [id, worker] : m_state.workers)
   {
--- a/Source/StandIns/WorkerStandIn.cpp
+++ b/Source/StandIns/WorkerStandIn.cpp
@@ -27,7 +27,7 @@
 using web::http::http_request;
 using web::http::status_codes;
 
-named_text read_file(const std::string& path)
+loaded_file read_file(const std::string& path)
 {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
@@ -44,7 +44,7 @@
 
 zone_config read_zone(const std::vector<std::string>& paths, const std::string& name)
 {
-  std::vector<named_text> files;
+  std::vector<loaded_file> files;
   files.reserve(paths.size());
   for (const std::string& path : paths)
     files.push_back(read_file(path));
@@ -62,7 +62,7 @@
 {
   if (settings_file.empty())
     return {};
-  const named_text file = read_file(settings_file);
+  const loaded_file file = read_file(settings_file);
   problem_list problems;
   const auto settings = parse_instance_settings(file.text, file.file, problems);
   if (!settings)
--- a/Source/UnitTests/Jobs/RowsTest.cpp
+++ b/Source/UnitTests/Jobs/RowsTest.cpp
@@ -27,8 +27,8 @@
   step.estimate = milliseconds{900};
   step.gang = true;
   step.required_label = "b";
-  step.most_per_worker = 2;
-  step.tail_target = milliseconds{40};
+  step.max_tasks_per_worker = 2;
+  step.tail_latency_target = milliseconds{40};
   step.limits_unavailable = true;
   job.spec.steps = {step, step};
   job.spec.steps[1].depends_on = {0};
@@ -78,11 +78,11 @@
   steps[1].estimate = milliseconds{50};
   steps[2].estimate = milliseconds{10};
   steps[2].depends_on = {0, 1};
-  const auto chains = chains_from(steps);
+  const auto chains = critical_paths_from(steps);
   BOOST_TEST((chains[0] == milliseconds{110}));
   BOOST_TEST((chains[1] == milliseconds{60}));
   BOOST_TEST((chains[2] == milliseconds{10}));
-  BOOST_TEST((longest_chain(steps) == milliseconds{110}));
+  BOOST_TEST((critical_path_length(steps) == milliseconds{110}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Model/ExplorerTest.cpp
+++ b/Source/UnitTests/Model/ExplorerTest.cpp
@@ -7,7 +7,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "Common/PlayLog.h"
+#include "Common/SimulationLog.h"
 #include "Model/CellExplorer.h"
 
 using namespace yardhill::model;
@@ -50,7 +50,7 @@
 BOOST_AUTO_TEST_CASE(no_seed_breaks_a_promise)
 {
   if (std::getenv("YARDHILL_LOG") != nullptr)
-    yardhill::common::open_play_log("explorer");
+    yardhill::common::open_simulation_log("explorer");
   const seed_range range = seeds();
   std::size_t accepted = 0;
   std::size_t counted = 0;
@@ -122,7 +122,7 @@
 BOOST_AUTO_TEST_CASE(no_seed_breaks_a_promise_when_workers_keep_their_ids)
 {
   if (std::getenv("YARDHILL_LOG") != nullptr)
-    yardhill::common::open_play_log("explorer-restarts");
+    yardhill::common::open_simulation_log("explorer-restarts");
   const seed_range range = seeds();
   for (std::uint64_t seed = range.first; seed < range.first + range.count; ++seed)
   {
@@ -135,7 +135,7 @@
 BOOST_AUTO_TEST_CASE(no_seed_breaks_a_promise_in_several_partitions)
 {
   if (std::getenv("YARDHILL_LOG") != nullptr)
-    yardhill::common::open_play_log("explorer-partitions");
+    yardhill::common::open_simulation_log("explorer-partitions");
   const seed_range range = seeds();
   constexpr std::uint64_t k_share = 3; // of the seeds, since these plays are long
   for (std::uint64_t seed = range.first; seed < range.first + (range.count + k_share - 1) / k_share;
--- a/Source/UnitTests/Model/PartitionsTest.cpp
+++ b/Source/UnitTests/Model/PartitionsTest.cpp
@@ -68,7 +68,7 @@
   run_for(seconds{5});
   jobs::step_spec step;
   step.count = 16; // of 18 workers
-  step.most_per_worker = 1;
+  step.max_tasks_per_worker = 1;
   step.demand.cpu_millis = 500;
   step.demand.memory_mib = 100;
   step.long_running = true;
--- a/Source/UnitTests/Node/EarlierOrdersTest.cpp
+++ b/Source/UnitTests/Node/EarlierOrdersTest.cpp
@@ -9,7 +9,7 @@
 #include "UnitTests/Node/OwnerHarness.h"
 
 using namespace yardhill;
-using common::orders_reply;
+using common::previous_requests_reply;
 using node::owner_under_test;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -48,7 +48,7 @@
 // Keeps what an instance sends to its peers.
 struct answering_owner : owner_under_test
 {
-  std::vector<orders_reply> replies;
+  std::vector<previous_requests_reply> replies;
   std::unique_ptr<node::partition_owner> instance;
 
   answering_owner()
@@ -56,7 +56,7 @@
     node::node_parts given = parts();
     given.send_to_peer = [this](const std::string&, const common::peer_message& message)
     {
-      if (const auto* const reply = std::get_if<orders_reply>(&message))
+      if (const auto* const reply = std::get_if<previous_requests_reply>(&message))
         replies.push_back(*reply);
     };
     instance = std::make_unique<node::partition_owner>(
--- a/Source/UnitTests/Node/PeerMonitorTest.cpp
+++ b/Source/UnitTests/Node/PeerMonitorTest.cpp
@@ -169,7 +169,7 @@
   sent.clear();
   peers.tick(time.now(), true, false);
   BOOST_TEST_REQUIRE(!sent.empty());
-  BOOST_TEST(std::get<common::way_question>(sent.back()).late_ms == 400U);
+  BOOST_TEST(std::get<common::store_reachability_query>(sent.back()).late_ms == 400U);
 }
 
 BOOST_FIXTURE_TEST_CASE(an_owner_that_has_given_back_says_so_and_may_be_quiet, monitor_under_test)
@@ -188,7 +188,7 @@
   pass(milliseconds{25}, true);
   pass(milliseconds{25}, false);
   BOOST_TEST_REQUIRE(sent.size() >= 1U);
-  BOOST_TEST(!std::get<common::way_question>(sent.back()).often);
+  BOOST_TEST(!std::get<common::store_reachability_query>(sent.back()).often);
 }
 
 // Found by reading: two instances that own nothing have little to say to each other, so after a
@@ -294,8 +294,9 @@
   }
   BOOST_TEST(sent.size() <= 4U * 15U + 146U);
   const auto often = std::count_if(sent.begin(), sent.end(),
-                                   [](const common::peer_message& each)
-                                   { return std::get<common::way_question>(each).often; });
+                                   [](const common::peer_message& each) {
+                                     return std::get<common::store_reachability_query>(each).often;
+                                   });
   BOOST_TEST(often == 4 * 15);
 }
 
--- a/Source/UnitTests/Node/StateDeskTest.cpp
+++ b/Source/UnitTests/Node/StateDeskTest.cpp
@@ -39,7 +39,7 @@
                             {
                               if (!cut)
                                 asker.on_reply("instance-1",
-                                               std::get<common::state_reply>(message));
+                                               std::get<common::job_state_reply>(message));
                             },
                             owning};
   node::state_desk asker{own.time,
@@ -48,7 +48,7 @@
                            BOOST_TEST(peer == "instance-1");
                            if (!cut)
                              at_owner.on_question("instance-2",
-                                                  std::get<common::state_question>(message));
+                                                  std::get<common::job_state_query>(message));
                          },
                          following};
   bool answered = false;
--- a/Source/UnitTests/Peer/FrameCodecTest.cpp
+++ b/Source/UnitTests/Peer/FrameCodecTest.cpp
@@ -119,39 +119,41 @@
   BOOST_TEST(std::get<job_notice>(std::get<peer_message>(*frame)).row == "row");
   BOOST_TEST(std::get<job_notice>(std::get<peer_message>(*frame)).version == 9U);
 
-  frame = decode(bytes_of(encode(peer_message{way_question{true, 340}})));
+  frame = decode(bytes_of(encode(peer_message{store_reachability_query{true, 340}})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  BOOST_TEST(std::get<way_question>(std::get<peer_message>(*frame)).often);
-  BOOST_TEST(std::get<way_question>(std::get<peer_message>(*frame)).late_ms == 340U);
+  BOOST_TEST(std::get<store_reachability_query>(std::get<peer_message>(*frame)).often);
+  BOOST_TEST(std::get<store_reachability_query>(std::get<peer_message>(*frame)).late_ms == 340U);
 
-  frame = decode(bytes_of(encode(peer_message{state_question{11, "id"}})));
+  frame = decode(bytes_of(encode(peer_message{job_state_query{11, "id"}})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  BOOST_TEST(std::get<state_question>(std::get<peer_message>(*frame)).id == "id");
+  BOOST_TEST(std::get<job_state_query>(std::get<peer_message>(*frame)).id == "id");
 
-  frame = decode(bytes_of(encode(peer_message{state_reply{11, true, 2}})));
+  frame = decode(bytes_of(encode(peer_message{job_state_reply{11, true, 2}})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  BOOST_TEST(std::get<state_reply>(std::get<peer_message>(*frame)).known);
-  BOOST_TEST(std::get<state_reply>(std::get<peer_message>(*frame)).state == 2U);
+  BOOST_TEST(std::get<job_state_reply>(std::get<peer_message>(*frame)).known);
+  BOOST_TEST(std::get<job_state_reply>(std::get<peer_message>(*frame)).state == 2U);
 
-  frame = decode(bytes_of(encode(peer_message{strength_report{250}})));
+  frame = decode(bytes_of(encode(peer_message{processor_capacity_report{250}})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  BOOST_TEST(std::get<strength_report>(std::get<peer_message>(*frame)).processor_millis == 250U);
+  BOOST_TEST(std::get<processor_capacity_report>(std::get<peer_message>(*frame)).processor_millis ==
+             250U);
 
-  frame = decode(bytes_of(encode(peer_message{orders_question{"cell", 7}})));
+  frame = decode(bytes_of(encode(peer_message{previous_requests_query{"cell", 7}})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  BOOST_TEST(std::get<orders_question>(std::get<peer_message>(*frame)).partition == "cell");
-  BOOST_TEST(std::get<orders_question>(std::get<peer_message>(*frame)).epoch == 7U);
+  BOOST_TEST(std::get<previous_requests_query>(std::get<peer_message>(*frame)).partition == "cell");
+  BOOST_TEST(std::get<previous_requests_query>(std::get<peer_message>(*frame)).epoch == 7U);
 
-  frame = decode(bytes_of(encode(peer_message{orders_reply{"cell", 7, 400}})));
+  frame = decode(bytes_of(encode(peer_message{previous_requests_reply{"cell", 7, 400}})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  BOOST_TEST(std::get<orders_reply>(std::get<peer_message>(*frame)).partition == "cell");
-  BOOST_TEST(std::get<orders_reply>(std::get<peer_message>(*frame)).epoch == 7U);
-  BOOST_TEST(std::get<orders_reply>(std::get<peer_message>(*frame)).quiet_ms == 400U);
+  BOOST_TEST(std::get<previous_requests_reply>(std::get<peer_message>(*frame)).partition == "cell");
+  BOOST_TEST(std::get<previous_requests_reply>(std::get<peer_message>(*frame)).epoch == 7U);
+  BOOST_TEST(std::get<previous_requests_reply>(std::get<peer_message>(*frame)).quiet_ms == 400U);
 
-  frame = decode(bytes_of(encode(peer_message{way_report{true, 18}})));
+  frame = decode(bytes_of(encode(peer_message{store_reachability_report{true, 18}})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  BOOST_TEST(std::get<way_report>(std::get<peer_message>(*frame)).has_way);
-  BOOST_TEST(std::get<way_report>(std::get<peer_message>(*frame)).newest_config == 18U);
+  BOOST_TEST(std::get<store_reachability_report>(std::get<peer_message>(*frame)).has_way);
+  BOOST_TEST(std::get<store_reachability_report>(std::get<peer_message>(*frame)).newest_config ==
+             18U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Scheduling/ShrunkRoomTest.cpp
+++ b/Source/UnitTests/Scheduling/ShrunkRoomTest.cpp
@@ -71,7 +71,7 @@
 BOOST_FIXTURE_TEST_CASE(a_task_that_asks_for_no_processor_is_not_started_over_it, shrunk_worker)
 {
   auto filling = step_of(1);
-  filling.fills_idle = true;
+  filling.uses_idle_cpu = true;
   start_job(k_other_job, filling);
   BOOST_TEST(starts.empty());
 }
--- a/Source/Yardhill/Check.cpp
+++ b/Source/Yardhill/Check.cpp
@@ -38,19 +38,19 @@
 Exit codes: 0 no mistake; 2 mistakes.
 )";
 
-using file_checker = void (*)(const common::named_text& file, common::problem_list& problems);
+using file_checker = void (*)(const common::loaded_file& file, common::problem_list& problems);
 
-void check_yard(const common::named_text& file, common::problem_list& problems)
+void check_yard(const common::loaded_file& file, common::problem_list& problems)
 {
   load::parse_yard(file.text, file.file, problems);
 }
 
-void check_platform_settings(const common::named_text& file, common::problem_list& problems)
+void check_platform_settings(const common::loaded_file& file, common::problem_list& problems)
 {
   node::parse_node_settings(file.text, file.file, problems);
 }
 
-void check_settings(const common::named_text& file, common::problem_list& problems)
+void check_settings(const common::loaded_file& file, common::problem_list& problems)
 {
   common::parse_instance_settings(file.text, file.file, problems);
 }
@@ -64,7 +64,7 @@
      {"callers_address", check_platform_settings}}};
 
 // Adds the file to the set, or checks it by itself.
-void check_file(const common::named_text& file, std::vector<common::named_text>& set,
+void check_file(const common::loaded_file& file, std::vector<common::loaded_file>& set,
                 common::problem_list& problems)
 {
   const auto document = common::parse_with_comments(file.text, file.file, problems);
@@ -99,8 +99,8 @@
 {
   const auto parsed = docopt::docopt(k_usage, given, true);
   common::problem_list problems;
-  std::vector<common::named_text> set;
-  for (const common::named_text& file : read_files(parsed.at("<file>").asStringList()))
+  std::vector<common::loaded_file> set;
+  for (const common::loaded_file& file : read_files(parsed.at("<file>").asStringList()))
     check_file(file, set, problems);
   if (!set.empty())
     common::parse_cell_config(set, problems);
--- a/Source/Yardhill/Config.cpp
+++ b/Source/Yardhill/Config.cpp
@@ -57,7 +57,7 @@
 constexpr std::size_t k_id_digits = 16;
 
 // The files as one document. Workers that were drained by command stay so unless the files say.
-std::string document_of(const std::vector<common::named_text>& files, const json& in_force)
+std::string document_of(const std::vector<common::loaded_file>& files, const json& in_force)
 {
   json document = json::parse(common::merge_documents(files));
   const json current = json::parse(in_force.value("document", ""), nullptr, false);
@@ -66,7 +66,7 @@
   return document.dump();
 }
 
-bool checks_out(const std::vector<common::named_text>& files)
+bool checks_out(const std::vector<common::loaded_file>& files)
 {
   common::problem_list problems;
   if (common::parse_cell_config(files, problems))
--- a/Source/Yardhill/Explain.cpp
+++ b/Source/Yardhill/Explain.cpp
@@ -33,7 +33,7 @@
 {
   const auto parsed = docopt::docopt(k_usage, given, true);
   std::vector<explain::log_line> log;
-  for (const common::named_text& file : read_files(parsed.at("<file>").asStringList()))
+  for (const common::loaded_file& file : read_files(parsed.at("<file>").asStringList()))
   {
     std::istringstream lines(file.text);
     for (std::string text; std::getline(lines, text);)
--- a/Source/Yardhill/Files.cpp
+++ b/Source/Yardhill/Files.cpp
@@ -10,27 +10,27 @@
 
 namespace yardhill::cli
 {
-common::result<common::named_text> load_file(const std::string& path)
+common::result<common::loaded_file> load_file(const std::string& path)
 {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
   if (!in)
     return common::new_error({"read_file", path, "cannot be read"});
-  return common::named_text{path, text.str()};
+  return common::loaded_file{path, text.str()};
 }
 
-common::named_text read_file(const std::string& path)
+common::loaded_file read_file(const std::string& path)
 {
-  return common::value_or<common::named_text>(
+  return common::value_or<common::loaded_file>(
       [&path] { return load_file(path); },
-      [](const common::step_error& error) -> common::named_text
+      [](const common::step_error& error) -> common::loaded_file
       { throw std::runtime_error(common::to_text(error)); });
 }
 
-std::vector<common::named_text> read_files(const std::vector<std::string>& paths)
+std::vector<common::loaded_file> read_files(const std::vector<std::string>& paths)
 {
-  std::vector<common::named_text> files;
+  std::vector<common::loaded_file> files;
   files.reserve(paths.size());
   for (const std::string& path : paths)
     files.push_back(read_file(path));
--- a/Source/Yardhill/Files.h
+++ b/Source/Yardhill/Files.h
@@ -14,10 +14,10 @@
 
 namespace yardhill::cli
 {
-common::result<common::named_text> load_file(const std::string& path);
+common::result<common::loaded_file> load_file(const std::string& path);
 // The same for a command's arguments: throws std::runtime_error with step and file.
-common::named_text read_file(const std::string& path);
-std::vector<common::named_text> read_files(const std::vector<std::string>& paths);
+common::loaded_file read_file(const std::string& path);
+std::vector<common::loaded_file> read_files(const std::vector<std::string>& paths);
 // One line each on standard error.
 void print_problems(const common::problem_list& problems);
 } // namespace yardhill::cli
--- a/Source/Yardhill/Instance.cpp
+++ b/Source/Yardhill/Instance.cpp
@@ -51,7 +51,7 @@
 
 std::optional<node::node_settings> read_settings(const std::string& path)
 {
-  const common::named_text file = read_file(path);
+  const common::loaded_file file = read_file(path);
   common::problem_list problems;
   auto settings = node::parse_node_settings(file.text, file.file, problems);
   print_problems(problems);
--- a/Source/Yardhill/Job.cpp
+++ b/Source/Yardhill/Job.cpp
@@ -74,7 +74,7 @@
 
 load::yard yard_in(const parsed_arguments& parsed)
 {
-  const common::named_text file = read_file(parsed.at("--yard").asString());
+  const common::loaded_file file = read_file(parsed.at("--yard").asString());
   common::problem_list problems;
   auto yard = load::parse_yard(file.text, file.file, problems);
   print_problems(problems);
--- a/Source/Yardhill/Replay.cpp
+++ b/Source/Yardhill/Replay.cpp
@@ -84,7 +84,7 @@
   scheduling.preempt = !parsed.at("--no-preemption").asBool() && !baseline;
   scheduling.learn = !parsed.at("--declared").asBool() && !baseline;
   if (parsed.at("--commit-each").asBool())
-    options.core.ownership.most_batch = 1;
+    options.core.ownership.max_records_per_transaction = 1;
   if (parsed.at("--log").asBool())
     options.log = [](time_point at, const std::string& who, const std::string& what)
     {
@@ -154,7 +154,7 @@
                     {"peak_processors", packing.peak_processors},
                     {"scarcest_while_backlogged", packing.backlogged},
                     {"backlogged_seconds", packing.backlogged_samples},
-                    {"most_queued", packing.most_queued}};
+                    {"most_queued", packing.max_queued}};
   const double each = 1.0 / static_cast<double>(std::max<std::size_t>(1, tasks));
   const replay::table_load& load = cell.table().load();
   const auto starts = static_cast<double>(cell.counts().value(counter::attempts_started));
--- a/Source/Yardhill/Serve.cpp
+++ b/Source/Yardhill/Serve.cpp
@@ -55,7 +55,7 @@
 int serve(const arguments& given)
 {
   const auto parsed = docopt::docopt(k_usage, given, true);
-  const common::named_text file = read_file(parsed.at("--settings").asString());
+  const common::loaded_file file = read_file(parsed.at("--settings").asString());
   common::problem_list problems;
   const auto settings = common::parse_instance_settings(file.text, file.file, problems);
   if (!settings)
