--- a/Source/Core/Common/Backoff.h
+++ b/Source/Core/Common/Backoff.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Exponential backoff: pauses that double from one try to the next.
+// Exponential backoff: the pause between retries doubles up to a maximum.
 
 #include <algorithm>
 #include <cstdint>
@@ -16,9 +16,9 @@
 {
   duration first;
   duration most;
-  std::uint32_t max_doublings; // no more are counted, so that nothing overflows
+  std::uint32_t max_doublings; // bounds the shift in after(), so that it does not overflow
 
-  // The pause after so many doublings of the first one.
+  // The pause after `first` was doubled `doublings` times; never more than `most`.
   duration after(std::uint32_t doublings) const
   {
     return std::min(first * (1U << std::min(doublings, max_doublings)), most);
--- a/Source/Core/Common/BootClock.h
+++ b/Source/Core/Common/BootClock.h
@@ -3,9 +3,10 @@
 
 #pragma once
 
-// A steady clock that counts the time in which the machine is suspended. std::chrono::steady_clock
-// stands still meanwhile, so leases, claims and the age of what was read would look younger than
-// they are to a process that wakes: it would go on ordering workers beside its successor.
+// A monotonic clock that also counts the time during which the machine is suspended.
+// std::chrono::steady_clock stops during a suspension. A resumed process would then take its
+// leases, its claims and the data that it has read for younger than they are, and would go on
+// sending requests to workers that a new owner has taken over.
 
 #include <ctime>
 
@@ -13,7 +14,8 @@
 
 namespace yardhill::common
 {
-// Never steps back. Timers of an event loop may still be late by the time of a suspension.
+// Never decreases. Event-loop timers do not follow this clock: after a suspension they may be late
+// by its length.
 inline time_point boot_time()
 {
   timespec since_boot{};
--- a/Source/Core/Common/ConfigParser.cpp
+++ b/Source/Core/Common/ConfigParser.cpp
@@ -15,22 +15,22 @@
 {
 using nlohmann::json;
 
-constexpr std::int64_t k_most_workers = 10000;
-constexpr std::int64_t k_most_port = 65535;
-constexpr double k_millis = 1000.0;
-constexpr double k_most_processors = 1024;
-constexpr std::int64_t k_most_accelerators = 64;
-constexpr std::int64_t k_most_members = 1000;
-constexpr std::int64_t k_most_replicas = 10000;
-constexpr std::int64_t k_most_priority = 1000;
-constexpr std::int64_t k_most_attempts = 100;
-constexpr double k_most_weight = 1000;
-constexpr const char* k_kinds = "interactive, service, gang or batch";
+constexpr std::int64_t k_max_workers = 10000;
+constexpr std::int64_t k_max_port = 65535;
+constexpr double k_millis_per_processor = 1000.0;
+constexpr double k_max_processors = 1024;
+constexpr std::int64_t k_max_accelerators = 64;
+constexpr std::int64_t k_max_members = 1000;
+constexpr std::int64_t k_max_replicas = 10000;
+constexpr std::int64_t k_max_priority = 1000;
+constexpr std::int64_t k_max_attempts = 100;
+constexpr double k_max_weight = 1000;
+constexpr const char* k_allowed_kinds = "interactive, service, gang or batch";
 
 std::int64_t read_processors(field_reader& in, std::optional<double> fallback = std::nullopt)
 {
-  const double processors = in.number("processors", {0.0, k_most_processors}, fallback);
-  return static_cast<std::int64_t>(processors * k_millis);
+  const double processors = in.number("processors", {0.0, k_max_processors}, fallback);
+  return static_cast<std::int64_t>(processors * k_millis_per_processor);
 }
 
 void check_name(field_reader& in, const std::string& name)
@@ -49,14 +49,14 @@
 void read_workers(field_reader& in, zone_config& zone)
 {
   const std::string prefix = in.text("prefix");
-  const auto count = in.integer("count", {1, k_most_workers});
-  const auto per_rack = in.integer("per_rack", {1, k_most_workers}, 8);
+  const auto count = in.integer("count", {1, k_max_workers});
+  const auto per_rack = in.integer("per_rack", {1, k_max_workers}, 8);
   const std::string host = in.text("host");
-  const auto first_port = in.integer("first_port", {1, k_most_port});
+  const auto first_port = in.integer("first_port", {1, k_max_port});
   worker_config worker;
   worker.capacity.cpu_millis = read_processors(in);
   worker.capacity.memory_mib = in.memory_mib("memory");
-  worker.capacity.accelerators = in.integer("accelerators", {0, k_most_accelerators}, 0);
+  worker.capacity.accelerators = in.integer("accelerators", {0, k_max_accelerators}, 0);
   worker.capacity.slots = in.integer("slots", {1, k_worker_slots}, k_worker_slots);
   worker.capacity.connections =
       in.integer("connections", {1, k_worker_connections}, k_worker_connections);
@@ -66,7 +66,8 @@
     const std::int64_t rack = index / per_rack;
     worker.id = worker_id{prefix + "-" + std::to_string(index + 1)};
     worker.rack = rack_id{prefix + "-rack-" + std::to_string(rack + 1)};
-    // Each rack's workers are dealt out, so that every partition outlives the loss of any rack.
+    // Spreads the workers of each rack over all partitions, so that every partition survives the
+    // loss of any one rack.
     worker.partition = static_cast<std::uint32_t>(index) % zone.partitions;
     worker.address = "http://" + host + ":" + std::to_string(first_port + index);
     zone.workers.push_back(worker);
@@ -75,10 +76,10 @@
 
 void read_zone(field_reader& in, cell_config& cell)
 {
-  constexpr std::int64_t most_partitions = 64;
+  constexpr std::int64_t max_partitions = 64;
   zone_config zone;
   zone.id = zone_id{read_name(in)};
-  zone.partitions = static_cast<std::uint32_t>(in.integer("partitions", {1, most_partitions}, 1));
+  zone.partitions = static_cast<std::uint32_t>(in.integer("partitions", {1, max_partitions}, 1));
   for (field_reader& workers : in.objects("workers"))
     read_workers(workers, zone);
   in.finish();
@@ -87,9 +88,9 @@
 
 void read_cell(field_reader& in, cell_config& cell)
 {
-  constexpr double most_headroom = 0.9;
+  constexpr double max_headroom = 0.9;
   cell.interactive_headroom =
-      in.number("interactive_headroom", {0.0, most_headroom}, cell.interactive_headroom);
+      in.number("interactive_headroom", {0.0, max_headroom}, cell.interactive_headroom);
   for (field_reader& zone : in.objects("zones"))
     read_zone(zone, cell);
   if (cell.zones.empty())
@@ -101,18 +102,19 @@
 {
   team_config team;
   team.id = team_id{read_name(in)};
-  constexpr double least_weight = 0.001;
-  team.weight = in.number("weight", {least_weight, k_most_weight}, 1.0);
+  constexpr double min_weight = 0.001;
+  team.weight = in.number("weight", {min_weight, k_max_weight}, 1.0);
   if (std::optional<field_reader> quota = in.object("quota", false))
   {
-    constexpr double most_quota = 1'000'000;
-    team.quota.cpu_millis =
-        static_cast<std::int64_t>(quota->number("processors", {0.0, most_quota}) * k_millis);
+    constexpr double max_quota = 1'000'000;
+    team.quota.cpu_millis = static_cast<std::int64_t>(
+        quota->number("processors", {0.0, max_quota}) * k_millis_per_processor);
     team.quota.memory_mib = quota->memory_mib("memory");
-    team.quota.accelerators = quota->integer("accelerators", {0, k_most_workers}, 0);
-    // Slots and connections are not part of a quota: as many as the processors can need.
-    team.quota.slots = k_most_workers * k_worker_slots;
-    team.quota.connections = k_most_workers * k_worker_connections;
+    team.quota.accelerators = quota->integer("accelerators", {0, k_max_workers}, 0);
+    // A quota does not limit slots and connections: both are set to as many as its processors can
+    // need.
+    team.quota.slots = k_max_workers * k_worker_slots;
+    team.quota.connections = k_max_workers * k_worker_connections;
     quota->finish();
   }
   in.finish();
@@ -124,7 +126,7 @@
   const std::string name = in.text("kind");
   const std::optional<task_kind> kind = task_kind_from(name);
   if (!kind && !name.empty())
-    in.problem("kind", "is \"" + name + "\"", k_kinds);
+    in.problem("kind", "is \"" + name + "\"", k_allowed_kinds);
   return kind.value_or(task_kind::batch);
 }
 
@@ -152,22 +154,22 @@
     workload.zones.emplace_back(zone);
   workload.demand.cpu_millis = read_processors(in);
   workload.demand.memory_mib = in.memory_mib("memory");
-  workload.demand.accelerators = in.integer("accelerators", {0, k_most_accelerators}, 0);
+  workload.demand.accelerators = in.integer("accelerators", {0, k_max_accelerators}, 0);
   workload.demand.slots = 1;
   workload.demand.connections = in.integer("connections", {0, k_worker_connections}, 1);
   const bool gang = workload.kind == task_kind::gang;
   const bool service = workload.kind == task_kind::service;
   workload.members =
-      gang ? static_cast<std::uint32_t>(in.integer("members", {2, k_most_members})) : 1;
+      gang ? static_cast<std::uint32_t>(in.integer("members", {2, k_max_members})) : 1;
   workload.replicas =
-      service ? static_cast<std::uint32_t>(in.integer("replicas", {0, k_most_replicas})) : 0;
+      service ? static_cast<std::uint32_t>(in.integer("replicas", {0, k_max_replicas})) : 0;
   workload.priority =
-      static_cast<std::int32_t>(in.integer("priority", {-k_most_priority, k_most_priority}, 0));
+      static_cast<std::int32_t>(in.integer("priority", {-k_max_priority, k_max_priority}, 0));
   workload.expected_run = in.time_span("expected_run", duration{0}, std::chrono::minutes{1});
   workload.deadline = in.time_span("deadline", duration{0}, duration{0});
   workload.repeatable = in.boolean("repeatable", true);
   workload.max_attempts =
-      static_cast<std::uint32_t>(in.integer("max_attempts", {1, k_most_attempts}, 3));
+      static_cast<std::uint32_t>(in.integer("max_attempts", {1, k_max_attempts}, 3));
   if (service)
     workload.payload = in.text("payload", "");
   check_kind(in, workload);
@@ -176,18 +178,18 @@
 }
 
 template<class element>
-void check_unique(const std::vector<element>& elements, const char* what, problem_list& problems)
+void check_unique(const std::vector<element>& elements, const char* section, problem_list& problems)
 {
-  std::set<std::string> seen;
-  for (const element& one : elements)
+  std::set<std::string> names;
+  for (const element& entry : elements)
   {
-    if (!seen.insert(one.id.value).second)
+    if (!names.insert(entry.id.value).second)
       problems.push_back(
-          {"the set", what, "names \"" + one.id.value + "\" twice", "each name once"});
+          {"the set", section, "names \"" + entry.id.value + "\" twice", "each name once"});
   }
 }
 
-// `workload_files`: the file that declares each workload.
+// `workload_files` names, for each entry of `cell.workloads`, the file that declares it.
 void check_references(const cell_config& cell, const std::vector<std::string>& workload_files,
                       problem_list& problems)
 {
@@ -286,14 +288,15 @@
 
 namespace
 {
-// Lists of named things become objects by name, so that an inserted one does not shift the rest.
-json by_name(const json& value)
+// Turns lists of named entries into objects keyed by name, so that an inserted entry does not show
+// up as a change of all entries after it.
+json keyed_by_name(const json& value)
 {
   if (value.is_object())
   {
     json result = json::object();
     for (const auto& [name, entry] : value.items())
-      result[name] = by_name(entry);
+      result[name] = keyed_by_name(entry);
     return result;
   }
   const bool named =
@@ -305,7 +308,7 @@
     return value;
   json result = json::object();
   for (const json& entry : value)
-    result[entry.value("name", entry.value("prefix", ""))] = by_name(entry);
+    result[entry.value("name", entry.value("prefix", ""))] = keyed_by_name(entry);
   return result;
 }
 } // namespace
@@ -316,7 +319,7 @@
   const json before = parse_with_comments(left, "", ignored).value_or(json::object());
   const json after = parse_with_comments(right, "", ignored).value_or(json::object());
   std::vector<std::string> fields;
-  for (const json& change : json::diff(by_name(before), by_name(after)))
+  for (const json& change : json::diff(keyed_by_name(before), keyed_by_name(after)))
   {
     std::string line = change["path"].get<std::string>() + ": " + change["op"].get<std::string>();
     if (change.contains("value") && change["value"].is_primitive())
--- a/Source/Core/Common/ConfigParser.h
+++ b/Source/Core/Common/ConfigParser.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The declared state of the cell, from the JSON that operators write.
+// Parses the cell configuration from the JSON files that operators write.
 
 #include <optional>
 #include <string>
@@ -20,11 +20,12 @@
   std::string text;
 };
 
-// Checks all files as one set and notes every mistake. None if there is any.
+// Checks all files as one set and appends every mistake to `problems`. None if there are mistakes.
 std::optional<cell_config> parse_cell_config(const std::vector<loaded_file>& files,
                                              problem_list& problems);
-// One document that holds the whole set, as it is stored and sent. The files must be valid.
+// Merges the files into the one JSON document that is stored and sent. The files must be valid.
 std::string merge_documents(const std::vector<loaded_file>& files);
-// The paths at which two documents differ, each as one line.
+// One line for each difference between the two documents: its path, the operation and the new
+// value.
 std::vector<std::string> differing_fields(const std::string& left, const std::string& right);
 } // namespace yardhill::common
--- a/Source/Core/Common/EnumNames.h
+++ b/Source/Core/Common/EnumNames.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Looks enum values up in a table of names that is indexed by the enum.
+// Converts enum values to names and back with a table of names that is indexed by the enum value.
 
 #include <algorithm>
 #include <array>
--- a/Source/Core/Common/Error.h
+++ b/Source/Core/Common/Error.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Errors that carry the step and the peer at which they arose.
+// Errors that name the step that failed and the peer that it failed with.
 
 #include <exception>
 #include <functional>
@@ -17,8 +17,8 @@
 {
 struct step_error
 {
-  std::string step; // what was being done, e.g. "read_row"
-  std::string peer; // with whom, e.g. "table", an address or a file
+  std::string step; // the operation that failed, e.g. "read_row"
+  std::string peer; // its counterpart, e.g. "table", an address or a file
   std::string detail;
 };
 
@@ -35,7 +35,7 @@
   return error.step + ": " + error.peer + ": " + error.detail;
 }
 
-// What `parse` makes of a text that came from `peer`; an error where it throws.
+// Returns the result of parse(), or an error with `step` and `peer` if parse() throws.
 template<class parse_function>
 auto parsed(const std::string& step, const std::string& peer, const parse_function& parse)
     -> result<decltype(parse())>
@@ -50,7 +50,7 @@
   }
 }
 
-// The result's value, or what `on_error` makes of the error.
+// Returns the value of attempt(), or on_error(error) if attempt() fails.
 template<class value_type, class error_function>
 value_type value_or(const std::function<result<value_type>()>& attempt,
                     const error_function& on_error)
@@ -59,7 +59,7 @@
   return outcome ? *std::move(outcome) : on_error(outcome.error());
 }
 
-// What `parse` makes of a text that came from `peer`; nothing where it throws.
+// Returns the result of parse(), or none if parse() throws.
 template<class parse_function>
 auto parsed_or_none(const std::string& step, const std::string& peer, const parse_function& parse)
     -> std::optional<decltype(parse())>
--- a/Source/Core/Common/EventLog.cpp
+++ b/Source/Core/Common/EventLog.cpp
@@ -22,13 +22,15 @@
 {
 using steady = std::chrono::steady_clock;
 
-// What may wait for a reader of standard output that is slow; more is dropped and counted.
-constexpr std::size_t k_most_buffered = 256U << 10U;
-// Lines are written together once this many bytes wait, or on flush. A pipe takes up to 4 KiB whole
-// (POSIX: PIPE_BUF is 512 or more, 4,096 on Linux); of more, a reader may see a torn line.
-constexpr std::size_t k_most_written = 4U << 10U;
-
-// Collects lines and writes them without ever blocking.
+// Lines for a slow reader of standard output are buffered up to this many bytes; further lines are
+// dropped and counted.
+constexpr std::size_t k_max_buffered_bytes = 256U << 10U;
+// Lines are written together once this many bytes are buffered, or on flush. A write of up to 4 KiB
+// to a pipe is atomic (POSIX: PIPE_BUF is 512 or more, 4,096 on Linux); a larger write may be
+// split, and a reader may see a partial line.
+constexpr std::size_t k_max_write_bytes = 4U << 10U;
+
+// Buffers lines and writes them to standard output without ever blocking.
 class stdout_sink : public spdlog::sinks::base_sink<spdlog::details::null_mutex>
 {
 public:
@@ -39,7 +41,7 @@
 protected:
   void sink_it_(const spdlog::details::log_msg& message) override
   {
-    if (m_buffer.size() + message.payload.size() > k_most_buffered)
+    if (m_buffer.size() + message.payload.size() > k_max_buffered_bytes)
     {
       ++m_dropped;
       return;
@@ -47,7 +49,7 @@
     spdlog::memory_buf_t formatted;
     formatter_->format(message, formatted);
     m_buffer.append(formatted.data(), formatted.size());
-    if (m_buffer.size() >= k_most_written)
+    if (m_buffer.size() >= k_max_write_bytes)
       flush_();
   }
 
@@ -56,7 +58,7 @@
     while (!m_buffer.empty())
     {
       const ssize_t written =
-          ::write(STDOUT_FILENO, m_buffer.data(), bytes_to_write(m_buffer, k_most_written));
+          ::write(STDOUT_FILENO, m_buffer.data(), bytes_to_write(m_buffer, k_max_write_bytes));
       if (written <= 0)
         return;
       m_buffer.erase(0, static_cast<std::size_t>(written));
@@ -68,21 +70,21 @@
   std::uint64_t m_dropped = 0;
 };
 
-struct open_log_state
+struct event_log_state
 {
   std::shared_ptr<stdout_sink> sink;
   std::shared_ptr<spdlog::logger> logger;
-  std::function<std::chrono::milliseconds()> play_clock;
-  bool bounded = true;
-  double budget = k_log_burst;
+  std::function<std::chrono::milliseconds()> simulation_clock;
+  bool rate_limited = true;
+  double tokens = k_log_burst;
   steady::time_point refilled = steady::now();
-  std::uint64_t over_budget = 0;
-  std::uint64_t reported = 0;
+  std::uint64_t dropped_over_limit = 0;
+  std::uint64_t dropped_reported = 0; // dropped lines that a log_lines_dropped event has counted
 };
 
-open_log_state& state()
+event_log_state& state()
 {
-  static open_log_state s_state;
+  static event_log_state s_state;
   return s_state;
 }
 
@@ -103,8 +105,8 @@
                 std::initializer_list<log_field> fields)
 {
   std::string line;
-  if (state().play_clock)
-    line = "\"at_ms\":" + std::to_string(state().play_clock().count()) + ",";
+  if (state().simulation_clock)
+    line = "\"at_ms\":" + std::to_string(state().simulation_clock().count()) + ",";
   line += "\"event\":\"";
   line += event;
   line += '"';
@@ -123,21 +125,21 @@
   state().logger->info("{}", line);
 }
 
-bool take_from_budget()
+bool take_token()
 {
-  open_log_state& log = state();
-  if (!log.bounded)
+  event_log_state& log = state();
+  if (!log.rate_limited)
     return true;
   const auto now = steady::now();
   const double passed = std::chrono::duration<double>(now - log.refilled).count();
   log.refilled = now;
-  log.budget = std::min(k_log_burst, log.budget + passed * k_log_lines_per_second);
-  if (log.budget < 1.0)
+  log.tokens = std::min(k_log_burst, log.tokens + passed * k_log_lines_per_second);
+  if (log.tokens < 1.0)
   {
-    ++log.over_budget;
+    ++log.dropped_over_limit;
     return false;
   }
-  log.budget -= 1.0;
+  log.tokens -= 1.0;
   return true;
 }
 } // namespace
@@ -152,7 +154,7 @@
 
 void open_event_log(const std::string& process)
 {
-  open_log_state& log = state();
+  event_log_state& log = state();
   log.sink = std::make_shared<stdout_sink>();
   log.logger = std::make_shared<spdlog::logger>("events", log.sink);
   log.logger->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","process":")" + process + R"(",%v})");
@@ -161,12 +163,12 @@
 void open_simulation_log(const std::string& process)
 {
   open_event_log(process);
-  state().bounded = false;
+  state().rate_limited = false;
 }
 
 void set_simulation_clock(std::function<std::chrono::milliseconds()> clock)
 {
-  state().play_clock = std::move(clock);
+  state().simulation_clock = std::move(clock);
 }
 
 void log_process(std::string_view event, std::initializer_list<log_field> fields)
@@ -180,7 +182,7 @@
 void log_request(std::string_view event, std::string_view request,
                  std::initializer_list<log_field> fields)
 {
-  if (state().logger && take_from_budget())
+  if (state().logger && take_token())
     write_line(event, request, fields);
 }
 
@@ -193,21 +195,22 @@
 
 void flush_event_log()
 {
-  open_log_state& log = state();
+  event_log_state& log = state();
   if (!log.logger)
     return;
   const std::uint64_t dropped = dropped_log_lines();
-  if (dropped > log.reported)
+  if (dropped > log.dropped_reported)
   {
-    write_line("log_lines_dropped", {}, {{"lines", dropped - log.reported}, {"total", dropped}});
-    log.reported = dropped;
+    write_line("log_lines_dropped", {},
+               {{"lines", dropped - log.dropped_reported}, {"total", dropped}});
+    log.dropped_reported = dropped;
   }
   log.logger->flush();
 }
 
 std::uint64_t dropped_log_lines()
 {
-  const open_log_state& log = state();
-  return log.over_budget + (log.sink ? log.sink->dropped() : 0);
+  const event_log_state& log = state();
+  return log.dropped_over_limit + (log.sink ? log.sink->dropped() : 0);
 }
 } // namespace yardhill::common
--- a/Source/Core/Common/EventLog.h
+++ b/Source/Core/Common/EventLog.h
@@ -3,10 +3,11 @@
 
 #pragma once
 
-// The process's log: one JSON object a line on standard output, one line a decision.
+// The event log of the process on standard output: one line for each decision, each a JSON object.
 //
-// Lines beyond a budget are dropped and counted, so that a flood of requests cannot make the log
-// cost more than the work; lines about the process itself are never dropped.
+// Lines about requests are rate-limited: lines over the limit are dropped and counted, so that
+// logging a flood of requests cannot cost more than serving it. The limit does not apply to lines
+// about the process itself.
 
 #include <cstdint>
 #include <initializer_list>
@@ -42,24 +43,28 @@
   }
 };
 
-// How often lines may be written that concern single requests: 300 a second with bursts of 1,500
-// is ten times what a standard day's decisions need.
+// Rate limit (a token bucket) of the lines about single requests: 300 per second with bursts of
+// 1,500 is ten times what the decisions of a standard day need.
 inline constexpr double k_log_lines_per_second = 300.0;
 inline constexpr double k_log_burst = 1500.0;
 
-// Opens standard output for the events of `process`. Before this, and in tests, events go nowhere.
+// Starts writing the events of `process` to standard output. Events logged before this call, and
+// in tests that never call it, are discarded.
 void open_event_log(const std::string& process);
-// A line about the process: start, stop, reload, a dependency lost or regained, what it believes.
+// Logs an event of the process itself: start, stop, reload, a dependency lost or regained, its view
+// of the cell. The line is written at once.
 void log_process(std::string_view event, std::initializer_list<log_field> fields);
-// A line about one request; counted against the budget.
+// Logs an event of one request; subject to the rate limit.
 void log_request(std::string_view event, std::string_view request,
                  std::initializer_list<log_field> fields);
-// The same, written whatever the budget: for a few lines a second, which the caller bounds.
+// Like log_request, without the rate limit: for events that the calling code itself limits to a few
+// lines per second.
 void log_request_always(std::string_view event, std::string_view request,
                         std::initializer_list<log_field> fields);
-// How much of the buffered lines to write in one go: whole lines, unless one alone is longer.
+// How many bytes of the buffered `lines` to pass to one write: at most `most`, ending after a whole
+// line unless the first line alone is longer than that.
 std::size_t bytes_to_write(std::string_view lines, std::size_t most);
-// Writes out what is buffered.
+// Writes the buffered lines, and a line with the number of dropped lines if it has grown.
 void flush_event_log();
 std::uint64_t dropped_log_lines();
 } // namespace yardhill::common
--- a/Source/Core/Common/FieldReader.cpp
+++ b/Source/Core/Common/FieldReader.cpp
@@ -13,8 +13,8 @@
 {
 using nlohmann::json;
 
-constexpr const char* k_span_form = "a number and a unit, such as 250ms, 5s, 2min, 1h or 3d";
-constexpr const char* k_memory_form = "a whole number and a unit, such as 512MiB or 4GiB";
+constexpr const char* k_time_span_format = "a number and a unit, such as 250ms, 5s, 2min, 1h or 3d";
+constexpr const char* k_memory_format = "a whole number and a unit, such as 512MiB or 4GiB";
 
 struct unit
 {
@@ -37,8 +37,8 @@
   std::int64_t amount = 0;
   const char* end = text.data() + text.size();
   const auto [rest, error] = std::from_chars(text.data(), end, amount);
-  constexpr std::int64_t most = 1'000'000'000;
-  if (error != std::errc{} || amount < 0 || amount > most)
+  constexpr std::int64_t max_amount = 1'000'000'000;
+  if (error != std::errc{} || amount < 0 || amount > max_amount)
     return std::nullopt;
   const std::string_view name(rest, static_cast<std::size_t>(end - rest));
   for (const unit& known : units)
@@ -105,7 +105,7 @@
 
 const json* field_reader::find(const char* name, bool required, const char* allowed)
 {
-  m_asked.insert(name);
+  m_known_fields.insert(name);
   if (has(name))
     return &m_object->at(name);
   if (required)
@@ -128,7 +128,7 @@
 {
   if (has(name))
     return text(name);
-  m_asked.insert(name);
+  m_known_fields.insert(name);
   return fallback;
 }
 
@@ -190,7 +190,7 @@
 
 duration field_reader::time_span(const char* name, duration least, std::optional<duration> fallback)
 {
-  const json* value = find(name, !fallback, k_span_form);
+  const json* value = find(name, !fallback, k_time_span_format);
   if (value == nullptr)
     return fallback.value_or(least);
   std::optional<duration> parsed;
@@ -200,13 +200,13 @@
     return *parsed;
   const std::string at_least =
       least > duration{0} ? ", at least " + std::to_string(least.count() / 1000) + "ms" : "";
-  problem(name, "is " + value->dump(), k_span_form + at_least);
+  problem(name, "is " + value->dump(), k_time_span_format + at_least);
   return fallback.value_or(least);
 }
 
 std::int64_t field_reader::memory_mib(const char* name, std::optional<std::int64_t> fallback)
 {
-  const json* value = find(name, !fallback, k_memory_form);
+  const json* value = find(name, !fallback, k_memory_format);
   if (value == nullptr)
     return fallback.value_or(0);
   std::optional<std::int64_t> parsed;
@@ -214,7 +214,7 @@
     parsed = parse_with_unit(value->get<std::string>(), k_memory_units);
   if (parsed)
     return *parsed;
-  problem(name, "is " + value->dump(), k_memory_form);
+  problem(name, "is " + value->dump(), k_memory_format);
   return fallback.value_or(0);
 }
 
@@ -278,11 +278,11 @@
     return;
   for (const auto& [name, value] : m_object->items())
   {
-    if (m_asked.contains(name))
+    if (m_known_fields.contains(name))
       continue;
     std::string known;
-    for (const std::string& asked : m_asked)
-      known += (known.empty() ? "" : ", ") + asked;
+    for (const std::string& field : m_known_fields)
+      known += (known.empty() ? "" : ", ") + field;
     problem(name, "is not a known field", known);
   }
 }
--- a/Source/Core/Common/Hash.h
+++ b/Source/Core/Common/Hash.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Hashing that is the same on every machine and in every run.
+// A hash function whose result is the same on every machine and in every process (XXH64).
 
 #include <cstdint>
 #include <string_view>
--- a/Source/Core/Common/HttpCall.cpp
+++ b/Source/Core/Common/HttpCall.cpp
@@ -7,12 +7,13 @@
 {
 namespace
 {
-// What cpprest's exceptions say when no byte can have been sent.
+// Whether the exception shows that no byte of the request can have been sent. cpprest reports some
+// connection failures only in the message text.
 bool never_connected(const web::http::http_exception& error)
 {
-  const std::string what = error.what();
-  return what.find("Failed to connect") != std::string::npos ||
-         what.find("Failed to resolve") != std::string::npos ||
+  const std::string message = error.what();
+  return message.find("Failed to connect") != std::string::npos ||
+         message.find("Failed to resolve") != std::string::npos ||
          error.error_code() == std::errc::connection_refused;
 }
 
@@ -55,7 +56,7 @@
           [](web::http::http_response response)
           {
             const int status = response.status_code();
-            // Bytes, not text: an object is not always UTF-8.
+            // Read as bytes, not as text: a stored object need not be UTF-8.
             return response.extract_vector().then(
                 [status](const std::vector<unsigned char>& bytes) {
                   return call_result{call_end::answered, status, {bytes.begin(), bytes.end()}};
--- a/Source/Core/Common/HttpCall.h
+++ b/Source/Core/Common/HttpCall.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// One HTTP call that is called back exactly once, whatever becomes of it.
+// Asynchronous HTTP calls. The callback of each call runs exactly once, whether it succeeds or
+// fails.
 
 #include <functional>
 #include <string>
@@ -15,20 +16,21 @@
 enum class call_end
 {
   answered,
-  unsent, // no connection could be made, so the other side knows nothing of it
-  unclear
+  unsent, // no connection was established, so the server has not received the request
+  unclear // the server may or may not have received the request
 };
 
 struct call_result
 {
   call_end end = call_end::unclear;
-  int status = 0; // HTTP status, when answered
-  std::string body;
+  int status = 0;   // HTTP status if answered, else 0
+  std::string body; // the response body if answered, else the error message
 };
 
 using call_done = std::function<void(call_result)>;
 
-// Sends `body` as JSON (or nothing when it is empty). `done` comes on a library thread.
+// Sends `body` as JSON, or no body if it is empty. `done` is called on a thread of the HTTP
+// library.
 void call_http(web::http::client::http_client& client, const web::http::method& method,
                const std::string& path, const std::string& body, const call_done& done);
 
--- a/Source/Core/Common/Ids.h
+++ b/Source/Core/Common/Ids.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Identifiers as distinct types, so that a worker's name cannot be passed where a task's is meant.
+// Identifiers as distinct types, so that the compiler rejects a worker's name where a task's is
+// meant.
 
 #include <compare>
 #include <cstdint>
@@ -31,10 +32,12 @@
 using zone_id = text_id<struct zone_id_tag>;
 using team_id = text_id<struct team_id_tag>;
 using workload_id = text_id<struct workload_id_tag>;
-// One run of one process: its settings' name plus a part that is new at each start.
+// One incarnation of an instance: the name from its settings and a suffix that is new at each
+// start.
 using instance_id = text_id<struct instance_id_tag>;
 
-// A partition is a numbered part of a zone: the home of a range of task ids and of some workers.
+// A partition is a numbered part of a zone. It is the home of the task ids that hash to its number,
+// and of some of the zone's workers.
 struct partition_id
 {
   zone_id zone;
@@ -43,14 +46,17 @@
   auto operator<=>(const partition_id&) const = default;
 };
 
-// Ownership term of a partition. It only grows; workers refuse a lower one.
+// Ownership term of a partition. It only increases; workers refuse requests with a lower term than
+// they have seen.
 using term_number = std::uint64_t;
 
-// Number of an attempt: the owner's term in the upper half, its own count in the lower. So no two
-// attempts ever have the same one, whoever owns the partition and whatever was forgotten.
+// Number of an attempt: the owner's term in the upper 32 bits, the owner's own counter in the lower
+// 32. No two attempts of a task ever have the same number, even if the partition changes its owner
+// and the new owner does not know of earlier attempts.
 using attempt_number = std::uint64_t;
 
-// One try at running one member of a task. Plain tasks have the single member 0.
+// One attempt at running one member of a task. Only gangs have several members; any other task has
+// the single member 0.
 struct attempt_id
 {
   task_id task;
--- a/Source/Core/Common/InstanceSettings.cpp
+++ b/Source/Core/Common/InstanceSettings.cpp
@@ -12,8 +12,8 @@
 {
 namespace
 {
-constexpr std::int64_t k_most_port = 65535;
-constexpr duration k_least_span = std::chrono::milliseconds{1};
+constexpr std::int64_t k_max_port = 65535;
+constexpr duration k_min_span = std::chrono::milliseconds{1};
 
 template<class options>
 struct span_field
@@ -60,14 +60,14 @@
                 options& into)
 {
   for (const span_field<options>& field : fields)
-    into.*field.member = in.time_span(field.name, k_least_span, into.*field.member);
+    into.*field.member = in.time_span(field.name, k_min_span, into.*field.member);
 }
 
 endpoint read_endpoint(field_reader& in)
 {
   endpoint where;
   where.address = in.text("address");
-  where.port = static_cast<std::uint16_t>(in.integer("port", {1, k_most_port}));
+  where.port = static_cast<std::uint16_t>(in.integer("port", {1, k_max_port}));
   return where;
 }
 
@@ -81,27 +81,27 @@
   return where;
 }
 
-std::size_t read_size(field_reader& in, const char* name, std::int64_t most, std::size_t fallback)
+std::size_t read_size(field_reader& in, const char* name, std::int64_t max, std::size_t fallback)
 {
-  return static_cast<std::size_t>(in.integer(name, {1, most}, static_cast<std::int64_t>(fallback)));
+  return static_cast<std::size_t>(in.integer(name, {1, max}, static_cast<std::int64_t>(fallback)));
 }
 
 void read_limits(field_reader& in, instance_settings& settings)
 {
-  constexpr std::int64_t most_count = 1'000'000;
-  constexpr std::int64_t most_bytes = 64LL << 20U;
+  constexpr std::int64_t max_count = 1'000'000;
+  constexpr std::int64_t max_bytes = 64LL << 20U;
   scheduling_options& scheduling = settings.core.scheduling;
-  settings.most_body = read_size(in, "request_bytes", most_bytes, settings.most_body);
+  settings.most_body = read_size(in, "request_bytes", max_bytes, settings.most_body);
 
   settings.threads = read_size(in, "http_threads", 64, settings.threads);
   settings.core.routing.max_pending_requests =
-      read_size(in, "pending_requests", most_count, settings.core.routing.max_pending_requests);
-  scheduling.max_queued = read_size(in, "queued_tasks", most_count, scheduling.max_queued);
+      read_size(in, "pending_requests", max_count, settings.core.routing.max_pending_requests);
+  scheduling.max_queued = read_size(in, "queued_tasks", max_count, scheduling.max_queued);
   scheduling.max_queued_interactive =
-      read_size(in, "queued_interactive", most_count, scheduling.max_queued_interactive);
-  scheduling.max_retained = read_size(in, "retained_tasks", most_count, scheduling.max_retained);
+      read_size(in, "queued_interactive", max_count, scheduling.max_queued_interactive);
+  scheduling.max_retained = read_size(in, "retained_tasks", max_count, scheduling.max_retained);
   scheduling.max_retained_bytes =
-      read_size(in, "retained_bytes", most_bytes, scheduling.max_retained_bytes);
+      read_size(in, "retained_bytes", max_bytes, scheduling.max_retained_bytes);
   in.finish();
 }
 
@@ -118,7 +118,7 @@
   }
 }
 
-// Spans that only make sense together.
+// Reports time spans that contradict each other.
 void check_spans(field_reader& in, const ownership_options& spans)
 {
   if (spans.claim_timeout <= spans.claim_wait)
--- a/Source/Core/Common/Json.cpp
+++ b/Source/Core/Common/Json.cpp
@@ -48,7 +48,7 @@
 
 namespace
 {
-// Bytes that are not UTF-8 outside a body are replaced, never a reason to fail.
+// Serializes without throwing: bytes outside a body that are not UTF-8 are replaced.
 std::string dump(const json& value)
 {
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
--- a/Source/Core/Common/Json.h
+++ b/Source/Core/Common/Json.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// JSON forms of the project's types: HTTP bodies, table rows and traces all use these.
+// Conversions of the project's types to JSON and back, for HTTP bodies, table rows and traces.
 // Reading throws nlohmann::json::exception on a missing or mistyped field.
 
 #include <optional>
@@ -24,7 +24,7 @@
   static void from_json(const json& in, yardhill::common::text_id<tag>& id) { in.get_to(id.value); }
 };
 
-// Durations travel as whole microseconds.
+// Durations are written as whole microseconds.
 template<>
 struct adl_serializer<yardhill::common::duration>
 {
@@ -92,7 +92,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(answer, task, result, reason, detail, step, peer, body,
                                    durability, retry_after, waited, ran, attempts)
 
-// Bodies are bytes, JSON strings are not: worker messages carry bodies in base64.
+// Bodies are arbitrary bytes, which a JSON string cannot hold: messages carry them in base64.
 std::string to_base64(const std::string& bytes);
 // Throws std::invalid_argument on text that is not base64.
 std::string from_base64(const std::string& text);
--- a/Source/Core/Common/JsonLog.cpp
+++ b/Source/Core/Common/JsonLog.cpp
@@ -11,7 +11,7 @@
 {
 namespace
 {
-std::string rest_of(const log_line& line)
+std::string fields_of(const log_line& line)
 {
   nlohmann::ordered_json out;
   out["step"] = line.step;
@@ -22,7 +22,7 @@
   if (line.term != 0)
     out["term"] = line.term;
   out["detail"] = line.detail;
-  // Without its opening brace: the pattern begins the object with the time and the level.
+  // Drops the opening brace: the logger's pattern opens the object with the time and the level.
   return out.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace).substr(1);
 }
 } // namespace
@@ -40,12 +40,12 @@
 void log_info(const log_line& line)
 {
   if (spdlog::should_log(spdlog::level::info))
-    spdlog::info("{}", rest_of(line));
+    spdlog::info("{}", fields_of(line));
 }
 
 void log_warning(const log_line& line)
 {
   if (spdlog::should_log(spdlog::level::warn))
-    spdlog::warn("{}", rest_of(line));
+    spdlog::warn("{}", fields_of(line));
 }
 } // namespace yardhill::common
--- a/Source/Core/Common/JsonLog.h
+++ b/Source/Core/Common/JsonLog.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Log lines as JSON, one object a line, on standard error.
+// The diagnostic log on standard error: one JSON object per line.
 
 #include <cstdint>
 #include <string>
@@ -21,7 +21,7 @@
   std::string detail;
 };
 
-// Sets the lowest level that is written: debug, info or warning.
+// Opens the log for `process`. `level` is the lowest level that is written: debug, info or warning.
 void open_log(const std::string& process, const std::string& level);
 void log_info(const log_line& line);
 void log_warning(const log_line& line);
--- a/Source/Core/Common/Metrics.cpp
+++ b/Source/Core/Common/Metrics.cpp
@@ -66,7 +66,7 @@
 });
 static_assert(k_gauge_names.size() == static_cast<std::size_t>(gauge::count));
 
-// Buckets from 1 microsecond to 1 hour, eight to a decade.
+// Buckets from 1 microsecond to 1 hour on a logarithmic scale, eight per decade.
 constexpr int k_buckets = 76;
 constexpr double k_lowest_us = 1.0;
 constexpr double k_highest_us = 3.6e9;
@@ -86,18 +86,18 @@
 {
   const std::string family = "yardhill_" + std::string(name) + "_seconds";
   out << "# TYPE " << family << " histogram\n";
-  double below = 0;
-  // The overflow bucket's bound is infinite; it is the +Inf line.
+  double cumulative = 0;
+  // The overflow bucket has no finite bound; the +Inf line below covers it.
   for (const auto& bucket : indexed(histogram, boost::histogram::coverage::all))
   {
-    below += *bucket;
+    cumulative += *bucket;
     const double bound = bucket.bin(0).upper() / k_us_per_second;
     if (*bucket > 0 && std::isfinite(bound))
-      out << family << "_bucket{le=\"" << bound << "\"} " << below << '\n';
+      out << family << "_bucket{le=\"" << bound << "\"} " << cumulative << '\n';
   }
-  out << family << "_bucket{le=\"+Inf\"} " << below << '\n';
+  out << family << "_bucket{le=\"+Inf\"} " << cumulative << '\n';
   out << family << "_sum " << sum_us / k_us_per_second << '\n';
-  out << family << "_count " << below << '\n';
+  out << family << "_count " << cumulative << '\n';
 }
 } // namespace
 
@@ -168,15 +168,15 @@
 {
   const std::lock_guard hold(m_histograms->lock);
   const log_histogram& histogram = m_histograms->by_timing.at(static_cast<std::size_t>(which));
-  const double all = boost::histogram::algorithm::sum(histogram);
-  double below = 0;
+  const double value_count = boost::histogram::algorithm::sum(histogram);
+  double cumulative = 0;
   for (const auto& bucket : indexed(histogram, boost::histogram::coverage::all))
   {
-    below += *bucket;
-    if (*bucket > 0 && below >= quantile * all && std::isfinite(bucket.bin(0).upper()))
+    cumulative += *bucket;
+    if (*bucket > 0 && cumulative >= quantile * value_count && std::isfinite(bucket.bin(0).upper()))
       return duration{static_cast<duration::rep>(bucket.bin(0).upper())};
   }
-  if (all == 0)
+  if (value_count == 0)
     return duration{0};
   return duration{static_cast<duration::rep>(k_highest_us)};
 }
--- a/Source/Core/Common/Metrics.h
+++ b/Source/Core/Common/Metrics.h
@@ -3,10 +3,10 @@
 
 #pragma once
 
-// Counters and histograms of one instance, and their text exposition.
+// Counters, gauges and histograms of one instance, and their text exposition.
 //
-// The core counts on its own thread; a scrape may come from another, so counters are atomic and
-// histograms are copied under a lock.
+// The core records on its own thread and a scrape may read on another, so counters and gauges are
+// atomic and histograms are guarded by a lock.
 
 #include <array>
 #include <atomic>
@@ -105,9 +105,10 @@
   std::uint64_t value(gauge which) const;
   std::uint64_t value(refusal_reason why) const;
   std::uint64_t value(retry_reason why) const;
-  // The smallest bucket bound that `quantile` (0 to 1) of the recorded values do not exceed.
+  // The smallest bucket bound that at least the fraction `quantile` (0 to 1) of the recorded values
+  // does not exceed; 0 if there are no values.
   duration quantile(timing which, double quantile) const;
-  // How many values were recorded, and their sum.
+  // The number of recorded values and their sum.
   struct recorded
   {
     std::uint64_t count = 0;
@@ -115,7 +116,7 @@
   };
   recorded total(timing which) const;
 
-  // The usual text exposition, one family per kind, times in seconds.
+  // The metrics in the Prometheus text format: one family per metric, times in seconds.
   std::string exposition() const;
 
 private:
--- a/Source/Core/Common/PeerMessages.h
+++ b/Source/Core/Common/PeerMessages.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What instances say to each other. The Peer folder puts these into frames.
+// The messages between instances. The Peer folder encodes them into frames.
 
 #include <cstdint>
 #include <string>
@@ -21,7 +21,8 @@
   term_number term = 0;
 };
 
-// Sent to every linked peer each heartbeat period; a peer not heard from for a while counts as cut.
+// Sent to every linked peer once per heartbeat period. A peer that has sent nothing for some time
+// counts as disconnected.
 struct heartbeat
 {
   std::uint64_t config_version = 0;
@@ -37,22 +38,24 @@
   count
 };
 
-// A caller's request on its way to the task's home. The number is the sender's own.
+// A caller's request that is forwarded to the task's home. The sender chooses `number`, and the
+// answer repeats it.
 struct forward_request
 {
   std::uint64_t number = 0;
   std::uint32_t hops = 0;
   request_purpose purpose = request_purpose::submit;
-  bool fresh = true; // false: this id may have reached a home before
-  task_spec spec;    // only the id counts for status and cancel
+  bool fresh = true; // false: a request with this id may have reached a home before
+  task_spec spec;    // status and cancel use only its id
 };
 
 struct forward_answer
 {
   std::uint64_t number = 0;
-  bool not_owner = false;    // ask elsewhere
-  bool may_have_run = false; // with not_owner: the sender owned it before and may have started it
-  instance_id owner;         // with not_owner: whom the sender believes to own it
+  bool not_owner = false; // the sender does not own the partition: ask another instance
+  // With not_owner: the sender has owned the partition before and may have started the task.
+  bool may_have_run = false;
+  instance_id owner; // with not_owner: the owner as far as the sender knows
   answer reply;
 };
 
@@ -66,22 +69,24 @@
 {
 };
 
-// The sender has stopped placing on the partition; the receiver takes it at a higher term.
+// The sender has stopped starting tasks on the partition; the receiver takes it over with a higher
+// term.
 struct handover
 {
   partition_id partition;
   term_number term = 0;
 };
 
-// The sender wants the receiver to ask the advice service on its behalf: the service takes the
-// calls of one instance in turn, but those of several at once. The number is the sender's own.
+// Asks the receiver to call the advice service on the sender's behalf: the service processes the
+// calls of one instance one after the other, but those of several instances in parallel. The sender
+// chooses `number`, and the reply repeats it.
 struct advice_request
 {
   std::uint64_t number = 0;
   std::string job;
   std::uint32_t cycle = 0;
   std::uint32_t step = 0;
-  std::uint32_t expected_ms = 0; // how long the service takes for it
+  std::uint32_t expected_ms = 0; // how long the service is expected to take for this call
   std::vector<std::string> workers;
 };
 
@@ -99,7 +104,7 @@
   std::vector<permit> permitted;
 };
 
-// The sender cannot reach the store, the receiver may: it sends the call on.
+// The sender cannot reach the store. The receiver, which may be able to, sends the call on.
 struct relay_request
 {
   std::uint64_t number = 0;
@@ -115,40 +120,43 @@
   std::uint32_t status = 0; // 0: the store did not answer
   std::string body;
   std::string failure;
-  bool refused = false; // the call has not reached the store
+  bool refused = false; // the call certainly has not reached the store
 };
 
-// The sender has just had a job kept, or cancelled, that the receiver's partition runs. The store's
-// feed says the same, a little later or, after a gap, much later.
+// The sender has just written, or cancelled, a job that the receiver's partition runs. The receiver
+// also learns of it from the store's feed, but a little later or, after a gap in the feed, much
+// later.
 struct job_notice
 {
   std::string id;
-  std::string row;           // the job as it is kept; empty: it was cancelled
-  std::uint64_t version = 0; // of the kept row
+  std::string row;           // the job's row as written; empty: the job was cancelled
+  std::uint64_t version = 0; // of that row
 };
 
-// Whether the receiver lives and reaches the store. Sent by an instance that doubts its own way
-// there.
+// Asks whether the receiver is alive and reaches the store. Sent by an instance that doubts that it
+// still reaches the store itself.
 struct store_reachability_query
 {
-  bool often = false;        // the sender owns a partition and asks all the time
-  std::uint32_t late_ms = 0; // the longest that its event loop was late by lately
+  bool often = false;        // the sender owns a partition and sends this query continually
+  std::uint32_t late_ms = 0; // the largest recent delay of the sender's event loop
 };
 
 struct store_reachability_report
 {
-  bool has_way = false; // the sender's direct calls to the store are answered
-  // The operator's newest, which is in force at the sender; 0: it does not know whether one is.
+  bool has_way = false; // the store answers the sender's direct calls
+  // Version of the operator's newest configuration if it is in force at the sender; 0: the sender
+  // does not know whether it is.
   std::uint64_t newest_config = 0;
 };
 
-// Sent once a link is up: an owner's work wants an instance that can bear it.
+// Sent once a link is up, so that a partition is owned by an instance with enough processor time
+// for the owner's work.
 struct processor_capacity_report
 {
-  std::uint32_t processor_millis = 0; // that the sender may use, in thousandths of a core
+  std::uint32_t processor_millis = 0; // processor time the sender may use, in thousandths of a core
 };
 
-// What the receiver, as the owner of its partition, has written of a job.
+// Asks which state of a job the receiver, as the owner of the job's partition, has written.
 struct job_state_query
 {
   std::uint64_t number = 0;
@@ -162,8 +170,8 @@
   std::uint8_t state = 0; // a jobs::job_state
 };
 
-// The sender has taken the partition over as the owner `epoch`. Answered by an instance that knows
-// of that, and gives no orders for the partition as an earlier owner.
+// The sender has taken the partition over as the owner `epoch`. An instance replies once it knows
+// of this takeover and, as an earlier owner, sends the partition's workers no more requests.
 struct previous_requests_query
 {
   std::string partition;
@@ -173,8 +181,8 @@
 struct previous_requests_reply
 {
   std::string partition;
-  std::uint64_t epoch = 0;    // as asked
-  std::uint64_t quiet_ms = 0; // for at least so long its process has given none
+  std::uint64_t epoch = 0;    // of the query
+  std::uint64_t quiet_ms = 0; // the process has sent no such request for at least this long
 };
 
 using peer_message =
--- a/Source/Core/Common/Problem.h
+++ b/Source/Core/Common/Problem.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// A mistake in a file that a person wrote.
+// A mistake in a configuration or settings file, as it is shown to the person who wrote the file.
 
 #include <string>
 #include <vector>
@@ -15,11 +15,11 @@
   std::string file;
   std::string field;   // path within the file, e.g. workloads[2].memory
   std::string what;    // what is wrong
-  std::string allowed; // what would be right
+  std::string allowed; // which values would be valid
 };
 
 using problem_list = std::vector<file_problem>;
 
-// file: field: what is wrong; allowed: ...
+// "<file>: <field>: <what>; allowed: <allowed>"
 std::string to_text(const file_problem& problem);
 } // namespace yardhill::common
--- a/Source/Core/Common/ProcessClock.h
+++ b/Source/Core/Common/ProcessClock.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The processor time that all threads of this process have used.
+// The processor time, user and system, that all threads of this process have used so far.
 
 #include <sys/resource.h>
 
@@ -15,8 +15,8 @@
 {
   rusage used{};
   ::getrusage(RUSAGE_SELF, &used);
-  const auto of = [](const timeval& time)
+  const auto to_duration = [](const timeval& time)
   { return std::chrono::seconds(time.tv_sec) + std::chrono::microseconds(time.tv_usec); };
-  return of(used.ru_utime) + of(used.ru_stime);
+  return to_duration(used.ru_utime) + to_duration(used.ru_stime);
 }
 } // namespace yardhill::common
--- a/Source/Core/Common/Reason.h
+++ b/Source/Core/Common/Reason.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// The closed lists of why a request is refused and why something is tried again. Each has one
-// counter per entry; the table in Reason.cpp does not compile when an entry lacks its name.
+// The complete lists of reasons for refusing a request and for retrying an operation. Each reason
+// has its own counter. Reason.cpp does not compile if a reason lacks a name.
 
 #include <cstddef>
 #include <string_view>
@@ -46,7 +46,7 @@
   start_refused,
   start_unclear,
   worker_lost,
-  worker_leaving, // a run was moved off a worker that drains
+  worker_leaving, // a run was moved off a draining worker
   attempt_failed,
   preempted,
   store_unavailable,
@@ -60,9 +60,9 @@
 inline constexpr std::size_t k_refusal_reasons = static_cast<std::size_t>(refusal_reason::count);
 inline constexpr std::size_t k_retry_reasons = static_cast<std::size_t>(retry_reason::count);
 
-// The reason's name as it stands in answers, logs and counters.
+// The reason's name as used in answers, logs and metrics.
 std::string_view to_text(refusal_reason reason);
 std::string_view to_text(retry_reason reason);
-// The reason of that name; `none` for an unknown one (a newer peer's).
+// The reason with that name; `none` if the name is unknown, as one from a newer peer may be.
 refusal_reason refusal_reason_from(std::string_view name);
 } // namespace yardhill::common
--- a/Source/Core/Common/Resources.cpp
+++ b/Source/Core/Common/Resources.cpp
@@ -32,11 +32,11 @@
   return k_dimensions.at(static_cast<std::size_t>(dimension)).name;
 }
 
-std::optional<resource_dimension> resources::first_excess(const resources& room) const
+std::optional<resource_dimension> resources::first_excess(const resources& available) const
 {
   for (const dimension_entry& entry : k_dimensions)
   {
-    if (this->*entry.member > room.*entry.member)
+    if (this->*entry.member > available.*entry.member)
       return entry.dimension;
   }
   return std::nullopt;
@@ -63,9 +63,9 @@
   double share = 0;
   for (const dimension_entry& entry : k_dimensions)
   {
-    const auto all = static_cast<double>(whole.*entry.member);
-    if (all > 0)
-      share = std::max(share, static_cast<double>(part.*entry.member) / all);
+    const auto total = static_cast<double>(whole.*entry.member);
+    if (total > 0)
+      share = std::max(share, static_cast<double>(part.*entry.member) / total);
   }
   return share;
 }
--- a/Source/Core/Common/Resources.h
+++ b/Source/Core/Common/Resources.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What a worker has and what a task takes of it.
+// The resources that a worker offers and a task demands.
 
 #include <cstdint>
 #include <optional>
@@ -11,7 +11,8 @@
 
 namespace yardhill::common
 {
-// The dimensions a worker can run out of, in the order in which refusals name them.
+// The kinds of resources that a worker can run out of. If several are exceeded, a refusal names the
+// first in this order.
 enum class resource_dimension
 {
   processors,
@@ -54,19 +55,22 @@
   friend resources operator+(resources left, const resources& right) { return left += right; }
   friend resources operator-(resources left, const resources& right) { return left -= right; }
 
-  bool fits_in(const resources& room) const
+  bool fits_in(const resources& available) const
   {
-    return cpu_millis <= room.cpu_millis && memory_mib <= room.memory_mib &&
-           accelerators <= room.accelerators && slots <= room.slots &&
-           connections <= room.connections;
+    return cpu_millis <= available.cpu_millis && memory_mib <= available.memory_mib &&
+           accelerators <= available.accelerators && slots <= available.slots &&
+           connections <= available.connections;
   }
-  // The first dimension in which this is more than `room`, if any.
-  std::optional<resource_dimension> first_excess(const resources& room) const;
+  // The first dimension in which this exceeds `available`; none if this fits.
+  std::optional<resource_dimension> first_excess(const resources& available) const;
 };
 
+// Each dimension multiplied by `factor` and rounded to the nearest integer.
 resources scaled(const resources& amount, double factor);
+// The larger of the two values in each dimension.
 resources elementwise_max(const resources& left, const resources& right);
 
-// The share of `whole` that `part` takes in the dimension where it takes most, 0 to 1 (or above).
+// The largest fraction of `whole` that `part` takes in any dimension: the dominant share of
+// dominant resource fairness. Above 1 if `part` exceeds `whole`.
 double dominant_share(const resources& part, const resources& whole);
 } // namespace yardhill::common
--- a/Source/Core/Common/SimulationLog.h
+++ b/Source/Core/Common/SimulationLog.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The event log of a play in virtual time.
+// The event log of a simulation that runs in virtual time.
 
 #include <chrono>
 #include <functional>
@@ -11,8 +11,9 @@
 
 namespace yardhill::common
 {
-// Like open_event_log, without a budget: a play writes a minute's lines within a second.
+// Like open_event_log, but without the rate limit: a simulation writes the lines of a minute of
+// virtual time within a second.
 void open_simulation_log(const std::string& process);
-// Each line bears this time as `at_ms`, until an empty clock is set.
+// Adds the time of `clock` to each line as the field `at_ms`. An empty function ends this.
 void set_simulation_clock(std::function<std::chrono::milliseconds()> clock);
 } // namespace yardhill::common
--- a/Source/Core/Common/StoreMessages.h
+++ b/Source/Core/Common/StoreMessages.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What an instance asks of the platform's table service.
+// Requests of an instance to the platform's table service and object store, and their results.
 
 #include <cstdint>
 #include <optional>
@@ -15,10 +15,11 @@
 struct store_row
 {
   std::string key;
-  std::uint64_t version = 0; // grows with every write of the row; 0 means there is no such row
+  std::uint64_t version = 0; // increases with every write of the row; 0: there is no such row
   std::string value;
 };
 
+// Holds if the row's version in the table is `version`.
 struct row_check
 {
   std::string key;
@@ -31,7 +32,7 @@
   std::optional<std::string> value; // none deletes the row
 };
 
-// Takes effect whole when every check holds, else not at all.
+// All puts take effect atomically if every check holds; otherwise none does.
 struct store_transaction
 {
   std::vector<row_check> checks;
@@ -43,8 +44,8 @@
   ok,
   conflict,    // a check failed; nothing was written
   limited,     // over the rate limit; nothing was written
-  unavailable, // refused or never reached; nothing was written
-  unclear,     // no answer: it may have taken effect
+  unavailable, // refused, or the service was not reached; nothing was written
+  unclear,     // no answer: the transaction may have taken effect
   count
 };
 
@@ -53,35 +54,38 @@
 struct store_write_result
 {
   store_status status = store_status::unclear;
-  std::uint64_t version = 0; // ok: the version that every row put now has
+  std::uint64_t version = 0; // if ok: the new version of every row put
 };
 
-// The object store, for what is too large for a row. Writing the same key again replaces it.
+// Writes an object to the object store, which holds values too large for a row. An existing object
+// with the same key is replaced.
 struct object_put
 {
   std::string key;
   std::string bytes;
 };
 
-// Answered like a read: one row with the bytes as its value, or none.
+// Reads an object. The result is that of a store_read: one row with the bytes as its value, or no
+// row.
 struct object_get
 {
   std::string key;
 };
 
-// Rows whose key starts with `prefix` and is above `after`, in the order of their keys.
+// Reads rows whose key starts with `prefix` and is greater than `after`, in the order of their
+// keys.
 struct store_read
 {
   std::string prefix;
   std::string after;
   std::uint32_t limit = 1000;
-  bool keys_only = false; // leave the values out
+  bool keys_only = false; // omit the values
 };
 
 struct store_read_result
 {
   store_status status = store_status::unclear;
   std::vector<store_row> rows;
-  bool more = false; // there are rows above the last one
+  bool more = false; // there are further rows after the last one
 };
 } // namespace yardhill::common
--- a/Source/Core/Common/StoredTask.h
+++ b/Source/Core/Common/StoredTask.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// A task as its row in the table service keeps it.
+// A task as it is stored in its row of the table service.
 
 #include <optional>
 #include <string>
@@ -13,12 +13,13 @@
 
 namespace yardhill::common
 {
-// Written before a task that is not repeatable is sent to a worker.
+// The intention to start an attempt, written before a task that is not repeatable is sent to a
+// worker.
 struct stored_intent
 {
   attempt_number attempt = 0;
   worker_id worker;
-  std::string boot; // of the worker; another boot has forgotten what it ran
+  std::string boot; // the worker's boot id; after a restart the worker does not know what it ran
 };
 
 struct stored_task
@@ -26,17 +27,19 @@
   task_spec spec;
   std::optional<stored_intent> intent;
   std::optional<answer> final_answer;
-  std::string body_object; // key in the object store of a body too large for a row; else empty
+  // Key in the object store of a result body that is too large for the row; else empty.
+  std::string body_object;
 };
 
-// What a row write is for; open rows are read at a takeover, ended ones on a caller's retry.
+// The purpose of a row write. Rows of open tasks are read at a takeover, rows of ended tasks when a
+// caller retries.
 enum class record_change
 {
   accept, // only if there is no row of this task yet
   intent,
   end,
   forget,
-  find, // nothing is written: look whether there is a row
+  find, // writes nothing: checks whether there is a row
   count
 };
 
@@ -49,9 +52,9 @@
 enum class record_write_status
 {
   written,
-  exists,      // accept only: the task was known; `known` tells
-  not_written, // certainly; find: there is no row
-  unclear      // may have been written; settled later by another result
+  exists,      // accept only: the task has a row already, which is in `known`
+  not_written, // certainly not written; find: there is no row
+  unclear      // may have been written; a later result settles it
 };
 
 struct record_write_result
--- a/Source/Core/Common/Task.cpp
+++ b/Source/Core/Common/Task.cpp
@@ -23,13 +23,13 @@
     std::to_array<std::string_view>({"done", "failed", "stopped", "checkpointed", "lapsed"});
 static_assert(k_attempt_names.size() == static_cast<std::size_t>(attempt_result::count));
 
-answer without_result(const task_id& task, outcome result, refusal_reason reason)
+answer answer_without_body(const task_id& task, outcome result, refusal_reason reason)
 {
-  answer made;
-  made.task = task;
-  made.result = result;
-  made.reason = reason;
-  return made;
+  answer value;
+  value.task = task;
+  value.result = result;
+  value.reason = reason;
+  return value;
 }
 } // namespace
 
@@ -66,18 +66,18 @@
 answer refuse(const task_id& task, refusal_reason reason, std::string detail, std::string step,
               duration retry_after)
 {
-  answer made = without_result(task, outcome::refused, reason);
-  made.detail = std::move(detail);
-  made.step = std::move(step);
-  made.retry_after = retry_after;
-  return made;
+  answer value = answer_without_body(task, outcome::refused, reason);
+  value.detail = std::move(detail);
+  value.step = std::move(step);
+  value.retry_after = retry_after;
+  return value;
 }
 
 answer unclear(const task_id& task, refusal_reason reason, std::string detail, std::string step,
                duration retry_after)
 {
-  answer made = refuse(task, reason, std::move(detail), std::move(step), retry_after);
-  made.result = outcome::unknown;
-  return made;
+  answer value = refuse(task, reason, std::move(detail), std::move(step), retry_after);
+  value.result = outcome::unknown;
+  return value;
 }
 } // namespace yardhill::common
--- a/Source/Core/Common/Time.h
+++ b/Source/Core/Common/Time.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// Time as the deterministic core sees it: microseconds on a clock that only ever moves forward.
-// The processes feed it from the monotonic clock, replay feeds it virtual time.
+// The time of the deterministic core: microseconds on a clock that never decreases. Server
+// processes supply it from the monotonic clock, a replay supplies virtual time.
 
 #include <chrono>
 
@@ -12,7 +12,8 @@
 {
 using duration = std::chrono::microseconds;
 
-// Tag clock for time points that are handed in from outside; it has no now() on purpose.
+// Clock type for the core's time points. It has no now(): the core is passed the time as an
+// argument and must not read a clock itself.
 struct core_clock
 {
   using duration = common::duration;
@@ -26,7 +27,8 @@
 
 inline constexpr time_point k_never = time_point::max();
 
-// Whole milliseconds, rounded up, so that a caller told to come back never comes too early.
+// Whole milliseconds, rounded up so that a caller that waits for a retry_after never retries too
+// early.
 constexpr std::chrono::milliseconds to_milliseconds(duration value)
 {
   return std::chrono::ceil<std::chrono::milliseconds>(value);
--- a/Source/Core/Common/Timekeeper.h
+++ b/Source/Core/Common/Timekeeper.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// Where a process gets its time from and how it waits: the event loop's clock when it serves, a
-// virtual one when the explorer plays it.
+// The interface through which a process reads clocks and sets timers. A server process uses the
+// clock of its event loop; in the explorer's simulations the time is virtual.
 
 #include <cstdint>
 #include <functional>
@@ -26,17 +26,18 @@
   virtual ~timekeeper() = default;
 
   virtual time_point now() const = 0;
-  // Time of day; it may jump.
+  // Time of day; may jump forwards and backwards.
   virtual wall_clock_time wall() const = 0;
-  // Calls `what` once, after `delay`, from the event loop.
-  virtual entry schedule(duration delay, std::function<void()> what) = 0;
-  // Nothing happens if the call has been made already.
+  // Calls `callback` once, after `delay`, from the event loop.
+  virtual entry schedule(duration delay, std::function<void()> callback) = 0;
+  // Cancels a scheduled call. Has no effect if the call has been made already.
   virtual void cancel(entry which) = 0;
 
-  void post(std::function<void()> what) { schedule(duration{0}, std::move(what)); }
+  void post(std::function<void()> callback) { schedule(duration{0}, std::move(callback)); }
 };
 
-// One call to come; starting it again replaces it, destroying it takes it back.
+// A timer for one pending call. Starting the timer again replaces the call; destroying the timer
+// cancels it.
 class one_shot_timer
 {
 public:
@@ -45,16 +46,18 @@
   one_shot_timer(const one_shot_timer&) = delete;
   one_shot_timer& operator=(const one_shot_timer&) = delete;
 
-  void start(duration delay, std::function<void()> what)
+  void start(duration delay, std::function<void()> callback)
   {
     cancel();
-    // Once it has been called there is nothing to take back, and the timekeeper may be gone first.
+    // The entry is reset when the call is made: there is nothing left to cancel, and the timekeeper
+    // may be destroyed before this timer.
     m_entry = m_time.schedule(delay,
-                              [this, what = std::move(what)]
+                              [this, callback = std::move(callback)]
                               {
                                 m_entry.reset();
-                                // It may destroy this timer.
-                                const auto call = what;
+                                // Copied first: the call may destroy this timer and with it
+                                // the lambda that holds the callback.
+                                const auto call = callback;
                                 call();
                               });
   }
--- a/Source/Core/Common/WorkerMessages.h
+++ b/Source/Core/Common/WorkerMessages.h
@@ -3,13 +3,13 @@
 
 #pragma once
 
-// What an instance and a worker say to each other.
+// The messages between an instance and a worker.
 //
 // A worker serves one owner at a time: the one with the highest term that it has seen. A claim
-// makes the sender that owner (or confirms it), acknowledges ended attempts and waits for news.
-// Each accepted claim is answered with a ticket. A claim renews the lease of what runs there, and
-// a start is taken, only when it quotes a ticket that is young on the worker's own clock: whatever
-// was delayed on its way, however long, changes nothing.
+// makes its sender that owner (or confirms it), acknowledges ended attempts and waits for updates.
+// Each accepted claim is answered with a ticket. A claim renews the leases of the worker's running
+// attempts, and a start is accepted, only if it quotes a ticket that the worker has issued recently
+// by its own clock. A message that was delayed in transit, however long, therefore has no effect.
 
 #include <cstdint>
 #include <string>
@@ -22,23 +22,23 @@
 
 namespace yardhill::common
 {
-// Term 0 is a probe: it changes nothing and never becomes the owner.
+// A claim with term 0 is a probe: it changes nothing, and its sender does not become the owner.
 struct claim_request
 {
   partition_id partition;
   term_number term = 0;
   instance_id owner;
-  std::uint64_t acknowledged = 0; // ended attempts up to this sequence may be forgotten
-  std::string acknowledged_boot;  // the boot whose sequence that is
-  std::uint64_t ticket = 0;       // the latest one that the sender holds; renews leases if young
+  std::uint64_t acknowledged = 0; // the worker may forget ended attempts up to this sequence
+  std::string acknowledged_boot;  // the worker's boot that `acknowledged` belongs to
+  std::uint64_t ticket = 0;       // the sender's latest ticket; renews leases if issued recently
   bool void_tickets = false;      // refuse from now on every start with an earlier ticket
-  duration wait{0};               // how long the worker may hold the answer when there is no news
+  duration wait{0};               // how long the worker may delay its answer if nothing has changed
 };
 
 struct running_attempt
 {
   attempt_id id;
-  std::string spec; // as it came with the start; left out for the owner that started it
+  std::string spec; // as given in the start; empty in answers to the owner that started it
 };
 
 struct ended_attempt
@@ -48,22 +48,23 @@
   attempt_result result = attempt_result::failed;
   std::string body;
   duration ran{0};
-  std::string spec; // as above
+  std::string spec; // as in running_attempt
 };
 
 struct claim_answer
 {
   bool accepted = false;
   term_number term = 0;  // the worker's current term
-  instance_id owner;     // and whose it is
-  duration owner_age{0}; // since that owner's last accepted claim
+  instance_id owner;     // the owner of that term
+  duration owner_age{0}; // time since that owner's last accepted claim
   std::string boot;      // new at each start of the worker
   std::uint64_t ticket = 0;
-  std::uint64_t moment = 0; // counts the worker's changes; orders this against start answers
-  bool leaving = false;
+  // Counts changes of the worker's state; tells whether this answer or a start answer is newer.
+  std::uint64_t moment = 0;
+  bool leaving = false; // the worker is draining
   std::vector<running_attempt> running;
   std::vector<ended_attempt> ended;
-  resources used; // measured, with a lag
+  resources used; // as measured, which lags behind
 };
 
 struct start_order
@@ -91,7 +92,7 @@
   old_ticket,
   no_room,
   leaving,
-  already_ran, // this attempt was taken earlier and is over or stopped
+  already_ran, // the worker has accepted this attempt earlier; it has ended or was stopped
   count
 };
 
--- a/Source/UnitTests/Common/BootClockTest.cpp
+++ b/Source/UnitTests/Common/BootClockTest.cpp
@@ -11,7 +11,7 @@
 
 BOOST_AUTO_TEST_SUITE(BootClockTest)
 
-// What the machine was suspended for is the difference of the two.
+// The difference between the two clocks is the time for which the machine was suspended.
 BOOST_AUTO_TEST_CASE(it_is_never_behind_the_steady_clock)
 {
   const auto steady = std::chrono::steady_clock::now().time_since_epoch();
--- a/Source/UnitTests/Common/ConfigParserTest.cpp
+++ b/Source/UnitTests/Common/ConfigParserTest.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Files with one mistake each: the mistake is named by file, field, what is wrong, what is allowed.
+// Configuration and settings files with mistakes. Each mistake must be reported with its file, its
+// field, what is wrong and what is allowed.
 
 #include <map>
 
@@ -34,7 +35,7 @@
 
 BOOST_AUTO_TEST_SUITE(config_parser)
 
-BOOST_AUTO_TEST_CASE(takes_a_set_with_comments)
+BOOST_AUTO_TEST_CASE(accepts_a_set_with_comments)
 {
   problem_list problems;
   const auto cell = parse_cell_config(
@@ -44,7 +45,7 @@
   BOOST_TEST(cell->find_workload(workload_id{"w"})->demand.memory_mib == 1024);
 }
 
-// A lost rack must leave every partition the majority of its workers.
+// Every partition must keep the majority of its workers if a rack is lost.
 BOOST_AUTO_TEST_CASE(partitions_share_the_workers_of_each_rack)
 {
   problem_list problems;
@@ -54,15 +55,15 @@
          "processors": 4, "memory": "8GiB"}]}]}})"}},
                         problems);
   BOOST_REQUIRE(cell);
-  std::map<std::pair<rack_id, std::uint32_t>, int> workers;
+  std::map<std::pair<rack_id, std::uint32_t>, int> worker_counts;
   for (const worker_config& worker : cell->zones.front().workers)
-    ++workers[{worker.rack, worker.partition}];
-  BOOST_TEST(workers.size() == 16U);
-  for (const auto& [place, count] : workers)
+    ++worker_counts[{worker.rack, worker.partition}];
+  BOOST_TEST(worker_counts.size() == 16U);
+  for (const auto& [rack_and_partition, count] : worker_counts)
     BOOST_TEST(count == 2);
 }
 
-BOOST_AUTO_TEST_CASE(names_each_mistake)
+BOOST_AUTO_TEST_CASE(reports_each_mistake)
 {
   const std::pair<std::string, std::string> mistakes[] = {
       {workload(R"("kind": "bach")"),
@@ -92,7 +93,7 @@
     BOOST_TEST(first_problem(text) == expected);
 }
 
-BOOST_AUTO_TEST_CASE(names_all_mistakes_of_a_settings_file)
+BOOST_AUTO_TEST_CASE(reports_all_mistakes_in_a_settings_file)
 {
   problem_list problems;
   const auto settings = parse_instance_settings(
@@ -113,7 +114,7 @@
   BOOST_TEST(fields == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(names_the_fields_that_differ_by_name_not_by_position)
+BOOST_AUTO_TEST_CASE(compares_list_entries_by_name_not_by_position)
 {
   const std::string before = R"({"teams": [{"name": "b", "weight": 1}]})";
   const std::string after = R"({"teams": [{"name": "a"}, {"name": "b", "weight": 2}]})";
--- a/Source/UnitTests/Common/EventLogTest.cpp
+++ b/Source/UnitTests/Common/EventLogTest.cpp
@@ -9,8 +9,8 @@
 
 BOOST_AUTO_TEST_SUITE(EventLogTest)
 
-// Incident inc-61ac, 3.65 s: a takeover wrote 8 KiB of lines at once, and one arrived without its
-// end.
+// Guards against torn lines: a takeover wrote 8 KiB of lines to the pipe at once, and one of them
+// reached the reader without its end.
 BOOST_AUTO_TEST_CASE(only_whole_lines_are_written_together)
 {
   BOOST_TEST(bytes_to_write("one\ntwo\n", 100) == 8U);
--- a/Source/UnitTests/Common/MetricsTest.cpp
+++ b/Source/UnitTests/Common/MetricsTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Each reason is counted and shown under its own name.
+// Counting of refusals and retries by reason, timings and their quantiles, and the text exposition.
 
 #include <set>
 #include <string>
@@ -41,7 +41,7 @@
 BOOST_AUTO_TEST_CASE(quantiles_come_from_the_recorded_values)
 {
   metrics counts;
-  for (int each = 0; each < 99; ++each)
+  for (int i = 0; i < 99; ++i)
     counts.record(timing::decision, std::chrono::microseconds{100});
   counts.record(timing::decision, std::chrono::milliseconds{10});
   BOOST_TEST(counts.quantile(timing::decision, 0.5) < std::chrono::microseconds{140});
@@ -49,7 +49,7 @@
   BOOST_TEST(counts.quantile(timing::decision, 1.0) >= std::chrono::milliseconds{10});
 }
 
-BOOST_AUTO_TEST_CASE(a_timing_tells_how_many_values_it_has_and_their_sum)
+BOOST_AUTO_TEST_CASE(a_timing_has_the_number_and_sum_of_its_values)
 {
   metrics counts;
   BOOST_TEST(counts.total(timing::decision).count == 0U);
@@ -68,10 +68,10 @@
   counts.set(gauge::hold_overdue_ms, 1500);
   counts.set(gauge::lasting_waiting, 7);
   counts.add(counter::process_cpu_ms, 90);
-  const std::string shown = counts.exposition();
+  const std::string exposition = counts.exposition();
   for (const char* line : {"yardhill_loop_late_ms 320\n", "yardhill_hold_overdue_ms 1500\n",
                            "yardhill_lasting_waiting 7\n", "yardhill_process_cpu_ms_total 90\n"})
-    BOOST_TEST(shown.find(line) != std::string::npos);
+    BOOST_TEST(exposition.find(line) != std::string::npos);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Common/ProcessClockTest.cpp
+++ b/Source/UnitTests/Common/ProcessClockTest.cpp
@@ -12,8 +12,9 @@
 
 BOOST_AUTO_TEST_SUITE(ProcessClockTest)
 
-// However long that takes on a busy machine: it ends only once the time has been counted.
-BOOST_AUTO_TEST_CASE(work_is_counted)
+// The loop ends once the clock has counted 20 ms, so the test does not depend on how fast a busy
+// machine runs it; it hangs if processor time is not counted.
+BOOST_AUTO_TEST_CASE(processor_time_is_counted)
 {
   const duration before = process_cpu_time();
   volatile unsigned work = 0;
--- a/Source/UnitTests/Common/TimekeeperTest.cpp
+++ b/Source/UnitTests/Common/TimekeeperTest.cpp
@@ -14,15 +14,15 @@
 
 namespace
 {
-// Calls what is scheduled when it is told to.
+// A timekeeper without a clock: fire() makes the first scheduled call.
 struct manual_time : timekeeper
 {
   time_point now() const override { return {}; }
   wall_clock_time wall() const override { return {}; }
 
-  entry schedule(duration, std::function<void()> what) override
+  entry schedule(duration, std::function<void()> callback) override
   {
-    calls[++last] = std::move(what);
+    calls[++last] = std::move(callback);
     return last;
   }
 
@@ -46,9 +46,10 @@
 
 BOOST_AUTO_TEST_SUITE(TimekeeperTest)
 
-// Explorer, seeds 3250 to 3374 on an earlier commit: a reading of the partition that was given up
-// with its process outlived the process's clock and took its last retry back from it.
-BOOST_AUTO_TEST_CASE(a_timer_that_has_fired_takes_nothing_back)
+// Found by the explorer (seeds 3250 to 3374 on an earlier commit): a read of the partition that was
+// abandoned with its process outlived the process's timekeeper, and its timer, which had fired,
+// still cancelled its last retry there.
+BOOST_AUTO_TEST_CASE(a_timer_that_has_fired_cancels_nothing)
 {
   manual_time time;
   {
@@ -59,7 +60,7 @@
   BOOST_TEST(time.cancels == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_timer_that_has_not_fired_is_taken_back)
+BOOST_AUTO_TEST_CASE(a_timer_that_has_not_fired_is_cancelled)
 {
   manual_time time;
   {
