--- a/Source/Core/Jobs/JobProgress.cpp
+++ b/Source/Core/Jobs/JobProgress.cpp
@@ -14,11 +14,11 @@
 {
 using nlohmann::json;
 
-// How many entries a task's history has that knows of no crashes.
-constexpr std::size_t k_history_without_crashes = 5;
-// And one that knows of no losses by chance.
-constexpr std::size_t k_history_without_chance = 12;
-constexpr std::size_t k_history_without_unjudged = 13;
+// Lengths of a task's history array as earlier versions write it: without a crash history, without
+// by_chance and without unexplained_losses. Each is also the index of the first field left out.
+constexpr std::size_t k_length_without_crashes = 5;
+constexpr std::size_t k_length_without_by_chance = 12;
+constexpr std::size_t k_length_without_unexplained = 13;
 
 constexpr std::array<std::string_view, 5> k_state_names{"queued", "active", "completed", "failed",
                                                         "cancelled"};
@@ -33,7 +33,7 @@
   throw std::invalid_argument("unknown job state " + name);
 }
 
-// '1' for a done task, '0' for one that is not; the text's length is the step's count.
+// One character per task of a step: '1' if the task is done, else '0'.
 std::string bits_of(const std::vector<bool>& done)
 {
   std::string text;
@@ -68,7 +68,7 @@
 {
   json out;
   out["state"] = to_text(progress.state);
-  // A job that has ended needs no details: nothing of it will run again.
+  // An ended job needs no details: none of its tasks will run again.
   if (is_final(progress.state))
     return out.dump();
   json cycles = json::array();
@@ -85,7 +85,7 @@
   {
     json& row = histories.emplace_back(json::array(
         {place.cycle, place.step, place.index, history.failed_runs, history.checkpoint}));
-    // Earlier versions read the first five and pass over the rest.
+    // Earlier versions read the first five fields and ignore the rest.
     if (history.crashes.any())
       row.insert(row.end(),
                  {history.crashes.blamed, history.crashes.unclear, history.crashes.announced,
@@ -128,14 +128,14 @@
     {
       task_history& history = progress.histories[{task.at(0), task.at(1), task.at(2)}];
       history = {task.at(3), task.at(4), {}};
-      if (task.size() > k_history_without_crashes)
+      if (task.size() > k_length_without_crashes)
         history.crashes = {task.at(5), task.at(6),  task.at(7),  task.at(8),
                            task.at(9), task.at(10), task.at(11), 0};
-      // Rows of earlier versions have no more.
-      if (task.size() > k_history_without_chance)
-        history.crashes.by_chance = task.at(k_history_without_chance);
-      if (task.size() > k_history_without_unjudged)
-        history.crashes.unexplained_losses = task.at(k_history_without_unjudged);
+      // Rows of earlier versions end before the following fields.
+      if (task.size() > k_length_without_by_chance)
+        history.crashes.by_chance = task.at(k_length_without_by_chance);
+      if (task.size() > k_length_without_unexplained)
+        history.crashes.unexplained_losses = task.at(k_length_without_unexplained);
     }
   }
   return progress;
--- a/Source/Core/Jobs/JobProgress.h
+++ b/Source/Core/Jobs/JobProgress.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// How far a job has come, as far as it must outlast its owner: a small row, written by the owner.
+// The progress of a job as its partition's owner writes it to the job's progress row: everything
+// that a later owner needs to continue the job.
 
 #include <cstdint>
 #include <map>
@@ -15,7 +16,7 @@
 {
 enum class job_state
 {
-  queued, // none of its tasks has begun
+  queued, // none of its tasks has started
   active,
   completed,
   failed,
@@ -25,7 +26,7 @@
 std::string_view to_text(job_state state);
 bool is_final(job_state state);
 
-// A task within its job.
+// Identifies a task within its job.
 struct task_place
 {
   std::uint32_t cycle = 0;
@@ -35,25 +36,28 @@
   auto operator<=>(const task_place&) const = default;
 };
 
-// What is kept of a task that may crash the workers that start it, by the numbers of its runs.
+// Evidence that a task may crash the workers that run it. The lists hold numbers of its runs. A run
+// is announced by writing its number and its worker here before it is started, so that a later
+// owner knows of it.
 struct crash_history
 {
-  std::vector<std::uint32_t> blamed;  // their workers crashed just after they had begun
-  std::vector<std::uint32_t> unclear; // announced runs of which nothing was heard any more
-  // The run that is to be started next, or goes on, and the worker that it is meant for; 0: its end
-  // is known, or there was none.
+  std::vector<std::uint32_t> blamed;  // runs whose workers crashed just after the run had started
+  std::vector<std::uint32_t> unclear; // announced runs of which no outcome was ever reported
+  // The announced run, which is about to be started or is running, and its worker; 0: no run is
+  // announced, or the outcome of the last one is known.
   std::uint32_t announced = 0;
   std::string announced_on = {};
-  // How many of the blamed runs were tried alone.
+  // How many of the blamed runs were trials in isolation: no other recently started run on the
+  // worker could have crashed it.
   std::uint32_t alone = 0;
-  // Runs whose workers have ended, and whose starts were not answered: they may never have begun.
+  // Runs whose workers are gone and never answered the start request: they may never have started.
   std::uint32_t unanswered = 0;
   // A run may have been lost with a worker, so the next one is announced.
   bool lost = false;
-  // Runs lost while so many workers were that their losses are no evidence.
+  // Runs lost while so many workers were lost that this is no evidence against the task.
   std::uint32_t by_chance = 0;
-  // Runs that were not announced and may have been lost with their workers, without any word on
-  // what crashed these.
+  // Runs that were not announced and may have been lost with their workers, without any report on
+  // what crashed those workers.
   std::uint32_t unexplained_losses = 0;
 
   bool any() const
@@ -69,13 +73,13 @@
   bool operator==(const crash_history&) const = default;
 };
 
-// What is kept of one task besides its being done.
+// What is stored about one task, apart from whether it is done.
 struct task_history
 {
-  // Numbers of the runs that ended by its own fault: they count against the attempts, each once,
-  // in whatever order their ends are heard of.
+  // Numbers of the runs that failed by the task's own fault. Each counts once against the allowed
+  // attempts, in whatever order the ends are reported.
   std::vector<std::uint32_t> failed_runs;
-  std::string checkpoint; // where the next run continues; empty: from the start
+  std::string checkpoint; // where the next run resumes; empty: from the start
   crash_history crashes = {};
 
   bool operator==(const task_history&) const = default;
@@ -84,17 +88,17 @@
 struct job_progress
 {
   job_state state = job_state::queued;
-  // One bit a task, by cycle and step; a vector<bool> of the step's count.
+  // done[cycle][step][index] tells whether the task is done.
   std::vector<std::vector<std::vector<bool>>> done;
   std::map<task_place, task_history> histories;
-  // Steps (index 0 stands for all tasks) of which tasks may have been started, with the
-  // availability zone of the workers there; empty: on any worker. It is written before the first
-  // start.
+  // The steps of which tasks may have been started (the key's index is 0), with the availability
+  // zone to which their starts are confined; empty: they may be on any worker. An entry is written
+  // before the step's first start.
   std::map<task_place, std::string> begun;
 };
 
-// Our own form of the row. Reading throws nlohmann::json::exception or std::invalid_argument on a
-// damaged text.
+// Converts to and from the row's text, a JSON object. Reading throws nlohmann::json::exception or
+// std::invalid_argument if the text is malformed.
 std::string to_row_text(const job_progress& progress);
 job_progress job_progress_from(const std::string& text);
 } // namespace yardhill::jobs
--- a/Source/Core/Jobs/JobSpec.cpp
+++ b/Source/Core/Jobs/JobSpec.cpp
@@ -13,36 +13,36 @@
 {
 using nlohmann::json;
 
-// Fields that have their default are left out, as most do: a row's bytes are paid for.
+// Writes a field unless it has its default value, as most fields do: the bytes of a row are billed.
 template<class value_type>
-void put(json& out, const char* name, const value_type& value, const value_type& usual)
+void put(json& out, const char* name, const value_type& value, const value_type& default_value)
 {
-  if (value != usual)
+  if (value != default_value)
     out[name] = value;
 }
 
 json to_json_value(const step_spec& step)
 {
-  static const step_spec usual;
+  static const step_spec defaults;
   json out = json::object();
-  put(out, "count", step.count, usual.count);
+  put(out, "count", step.count, defaults.count);
   put(out, "cpu", step.demand.cpu_millis, std::int64_t{0});
   put(out, "mem", step.demand.memory_mib, std::int64_t{0});
   put(out, "acc", step.demand.accelerators, std::int64_t{0});
-  put(out, "estimate", step.estimate.count(), usual.estimate.count());
-  put(out, "after", step.depends_on, usual.depends_on);
+  put(out, "estimate", step.estimate.count(), defaults.estimate.count());
+  put(out, "after", step.depends_on, defaults.depends_on);
   put(out, "checkpointing", step.checkpointing, false);
   put(out, "gang", step.gang, false);
   put(out, "one_rack", step.one_rack, false);
   put(out, "speculative", step.speculative, false);
   put(out, "long_running", step.long_running, false);
   put(out, "fills", step.uses_idle_cpu, false);
-  put(out, "label", step.required_label, usual.required_label);
-  put(out, "rack", step.data_rack, usual.data_rack);
-  put(out, "per_worker", step.max_tasks_per_worker, usual.max_tasks_per_worker);
-  put(out, "image", step.image, usual.image);
-  put(out, "tail", step.tail_latency_target.count(), usual.tail_latency_target.count());
-  put(out, "unavailable", step.max_unavailable, usual.max_unavailable);
+  put(out, "label", step.required_label, defaults.required_label);
+  put(out, "rack", step.data_rack, defaults.data_rack);
+  put(out, "per_worker", step.max_tasks_per_worker, defaults.max_tasks_per_worker);
+  put(out, "image", step.image, defaults.image);
+  put(out, "tail", step.tail_latency_target.count(), defaults.tail_latency_target.count());
+  put(out, "unavailable", step.max_unavailable, defaults.max_unavailable);
   put(out, "limits_unavailable", step.limits_unavailable, false);
   return out;
 }
@@ -72,7 +72,7 @@
   return step;
 }
 
-std::optional<std::string> mistake_in(const step_spec& step, std::size_t number)
+std::optional<std::string> validation_error_in(const step_spec& step, std::size_t number)
 {
   const std::string where = "step " + std::to_string(number) + ": ";
   if (step.count == 0)
@@ -84,22 +84,23 @@
   return std::nullopt;
 }
 
-// Steps whose dependencies were all visited, again and again; what is left over is a cycle.
+// Visits, round by round, the steps whose dependencies have all been visited. Steps that are never
+// visited are part of a cycle or depend on one.
 bool has_cycle(const std::vector<step_spec>& steps)
 {
   std::vector<bool> visited(steps.size(), false);
-  bool moved = true;
-  while (moved)
+  bool progressed = true;
+  while (progressed)
   {
-    moved = false;
+    progressed = false;
     for (std::size_t i = 0; i < steps.size(); ++i)
     {
-      const auto& needs = steps[i].depends_on;
-      if (visited[i] || !std::all_of(needs.begin(), needs.end(),
+      const auto& dependencies = steps[i].depends_on;
+      if (visited[i] || !std::all_of(dependencies.begin(), dependencies.end(),
                                      [&visited](std::uint32_t step) { return visited[step]; }))
         continue;
       visited[i] = true;
-      moved = true;
+      progressed = true;
     }
   }
   return std::find(visited.begin(), visited.end(), false) != visited.end();
@@ -129,7 +130,7 @@
   std::uint64_t tasks = 0;
   for (std::size_t i = 0; i < spec.steps.size(); ++i)
   {
-    if (auto mistake = mistake_in(spec.steps[i], i))
+    if (auto mistake = validation_error_in(spec.steps[i], i))
       return mistake;
     for (const std::uint32_t needed : spec.steps[i].depends_on)
     {
@@ -147,26 +148,27 @@
 
 std::vector<milliseconds> critical_paths_from(const std::vector<step_spec>& steps)
 {
-  std::vector<milliseconds> chains;
-  chains.reserve(steps.size());
+  std::vector<milliseconds> paths;
+  paths.reserve(steps.size());
   for (const step_spec& step : steps)
-    chains.push_back(step.estimate);
-  // As many rounds as there are steps settle any order of dependencies.
+    paths.push_back(step.estimate);
+  // One round per step is enough, in whatever order the steps depend on each other: a chain is at
+  // most that long.
   for (std::size_t round = 0; round < steps.size(); ++round)
   {
     for (std::size_t i = 0; i < steps.size(); ++i)
     {
       for (const std::uint32_t needed : steps[i].depends_on)
-        chains[needed] = std::max(chains[needed], steps[needed].estimate + chains[i]);
+        paths[needed] = std::max(paths[needed], steps[needed].estimate + paths[i]);
     }
   }
-  return chains;
+  return paths;
 }
 
 milliseconds critical_path_length(const std::vector<step_spec>& steps)
 {
-  const std::vector<milliseconds> chains = critical_paths_from(steps);
-  return chains.empty() ? milliseconds{0} : *std::max_element(chains.begin(), chains.end());
+  const std::vector<milliseconds> paths = critical_paths_from(steps);
+  return paths.empty() ? milliseconds{0} : *std::max_element(paths.begin(), paths.end());
 }
 
 milliseconds latency_objective(const queue_policy& policy, const std::vector<step_spec>& steps)
--- a/Source/Core/Jobs/QueueTable.h
+++ b/Source/Core/Jobs/QueueTable.h
@@ -25,11 +25,12 @@
 
 struct queue_table
 {
-  std::uint64_t version = 0; // 0: none has arrived yet
+  std::uint64_t version = 0; // 0: no configuration has been received yet
   std::vector<queue_route> routes;
   http::listener_limits limits;
 
-  // The route of that host whose prefix is the longest that `path` begins with; null if none.
+  // The route of `host` with the longest path prefix that `path` starts with; null if there is
+  // none.
   const queue_route* find(const std::string& host, const std::string& path) const
   {
     const queue_route* best = nullptr;
--- a/Source/UnitTests/Jobs/RowsTest.cpp
+++ b/Source/UnitTests/Jobs/RowsTest.cpp
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(RowsTest)
 
-BOOST_AUTO_TEST_CASE(a_kept_job_is_read_back_as_it_was)
+BOOST_AUTO_TEST_CASE(a_stored_job_is_read_back_unchanged)
 {
   accepted_job job;
   job.id = "5c0e7a21d94b36f8";
@@ -40,7 +40,7 @@
   BOOST_TEST((read.spec.due(2) == wall_time(milliseconds{1777})));
 }
 
-BOOST_AUTO_TEST_CASE(progress_is_read_back_as_it_was)
+BOOST_AUTO_TEST_CASE(progress_is_read_back_unchanged)
 {
   job_progress progress;
   progress.state = job_state::active;
@@ -55,7 +55,7 @@
   BOOST_TEST((read.begun == progress.begun));
 }
 
-BOOST_AUTO_TEST_CASE(an_ended_job_needs_no_details)
+BOOST_AUTO_TEST_CASE(an_ended_job_is_stored_without_details)
 {
   job_progress progress;
   progress.state = job_state::completed;
@@ -71,17 +71,17 @@
   BOOST_CHECK_THROW(accepted_job_from("id", "nonsense"), std::exception);
 }
 
-BOOST_AUTO_TEST_CASE(chains_follow_the_longest_way)
+BOOST_AUTO_TEST_CASE(critical_paths_follow_the_longest_chain)
 {
   std::vector<step_spec> steps(3);
   steps[0].estimate = milliseconds{100};
   steps[1].estimate = milliseconds{50};
   steps[2].estimate = milliseconds{10};
   steps[2].depends_on = {0, 1};
-  const auto chains = critical_paths_from(steps);
-  BOOST_TEST((chains[0] == milliseconds{110}));
-  BOOST_TEST((chains[1] == milliseconds{60}));
-  BOOST_TEST((chains[2] == milliseconds{10}));
+  const auto paths = critical_paths_from(steps);
+  BOOST_TEST((paths[0] == milliseconds{110}));
+  BOOST_TEST((paths[1] == milliseconds{60}));
+  BOOST_TEST((paths[2] == milliseconds{10}));
   BOOST_TEST((critical_path_length(steps) == milliseconds{110}));
 }
 
