--- a/Source/Core/Explain/Explanation.cpp
+++ b/Source/Core/Explain/Explanation.cpp
@@ -15,9 +15,9 @@
 {
 using std::chrono::milliseconds;
 
-// Events about a process that can hold a request up. Those about a worker count if the request's
-// own lines name that worker.
-constexpr auto k_holding_up = std::to_array<std::string_view>(
+// Events about processes and workers that can delay a request. An event about a worker counts only
+// if the request's own lines name that worker.
+constexpr auto k_delaying_events = std::to_array<std::string_view>(
     {"store_lost",        "store_heard",       "take_over",         "partition_owned",
      "partition_lost",    "partition_release", "tasks_accounted",   "zone_silent",
      "peer_silent",       "peer_unlinked",     "stopping",          "started",
@@ -25,10 +25,12 @@
      "worker_crashed",    "worker_restarted",  "worker_entry_gone", "advice_overdue",
      "commit_unanswered", "feed_history_gone"});
 
-// An instance whose loop is later than this answers and orders late.
+// An instance whose event loop is delayed by more than this replies to callers and sends requests
+// to workers late.
 constexpr double k_late_loop_ms = 250.0;
 
-// Not so for lines that only show what somebody asked, or that a task still waits.
+// Whether the line shows progress of the request. Lines that only record a status query, or that a
+// task is still waiting, do not.
 bool shows_progress(const log_line& line)
 {
   return line.event != "state_shown" && line.event != "lasting_task_waits";
@@ -63,8 +65,8 @@
   return workers;
 }
 
-// Whom the request's own lines name.
-struct named_parts
+// The processes that wrote the request's own lines, and the workers that these lines name.
+struct involved_parties
 {
   std::set<std::string> processes;
   std::set<std::string> workers;
@@ -75,13 +77,14 @@
   return line.event == "counters" && line.number("loop_late_worst_ms") > k_late_loop_ms;
 }
 
-bool may_hold_up(const log_line& line, const named_parts& named)
+bool may_delay(const log_line& line, const involved_parties& involved)
 {
   if (shows_late_loop(line))
-    return named.processes.contains(line.process);
-  if (std::find(k_holding_up.begin(), k_holding_up.end(), line.event) == k_holding_up.end())
+    return involved.processes.contains(line.process);
+  if (std::find(k_delaying_events.begin(), k_delaying_events.end(), line.event) ==
+      k_delaying_events.end())
     return false;
-  return !line.fields.contains("worker") || named.workers.contains(line.text("worker"));
+  return !line.fields.contains("worker") || involved.workers.contains(line.text("worker"));
 }
 
 outcome outcome_of(const std::vector<log_line>& lines)
@@ -129,7 +132,8 @@
   return text.data();
 }
 
-// What the instance knew of the job's row; a young instance knows little.
+// What the instance knew of the job's row, and how long the instance had been running: a recently
+// started instance knows little.
 std::string evidence_of(const log_line& line)
 {
   if (!line.fields.contains("row"))
@@ -147,7 +151,8 @@
          evidence_of(line);
 }
 
-// A task was lost with its workers too often: none of its runs has listed an end.
+// The cause if a task was given up because it was lost with its workers too often. None of its runs
+// has reported an end, so the crashes are not counted as failed runs.
 std::string crash_cause(const log_line& given_up)
 {
   const auto count = [&given_up](const char* field)
@@ -178,11 +183,12 @@
          " workers; with several workers the job itself is at fault, with one the worker may be";
 }
 
-// The owner, or whoever else told of the request, was busy.
-std::string late_loop_cause(const std::vector<log_line>& meanwhile)
+// Names the instance with the largest event-loop delay among those that logged the request, such as
+// the partition's owner.
+std::string late_loop_cause(const std::vector<log_line>& delays)
 {
   const log_line* worst = nullptr;
-  for (const log_line& line : meanwhile)
+  for (const log_line& line : delays)
   {
     if (shows_late_loop(line) && (worst == nullptr || line.number("loop_late_worst_ms") >
                                                           worst->number("loop_late_worst_ms")))
@@ -194,53 +200,55 @@
   return "; the loop of " + worst->process + " was up to " + in_seconds(late) + " late";
 }
 
-std::string late_cause(const wait& longest, const std::vector<log_line>& meanwhile)
+std::string late_cause(const wait& longest, const std::vector<log_line>& delays)
 {
   if (longest.from == nullptr)
     return "its lines show no wait";
   std::string cause = "waited " + in_seconds(longest.length()) + " between " + longest.from->event +
                       " and " + longest.to->event;
-  cause += meanwhile.empty() ? "; no instance lost anything meanwhile: it ran, or had no room"
-                             : "; meanwhile:";
+  cause += delays.empty() ? "; no delaying event was logged in that time: tasks were running, or "
+                            "there was no free capacity"
+                          : "; meanwhile:";
   std::set<std::string> events;
-  for (const log_line& line : meanwhile)
+  for (const log_line& line : delays)
   {
     if (events.insert(line.event).second)
       cause += " " + line.event;
   }
-  return cause + late_loop_cause(meanwhile);
+  return cause + late_loop_cause(delays);
 }
 
-// Which waits its tasks that last were in, the one that was told most often first.
-std::string lasting_cause(const std::vector<log_line>& lines)
+// The waits that the request's long-running tasks were in, the most frequently reported first.
+std::string long_running_wait_cause(const std::vector<log_line>& lines)
 {
-  struct told_wait
+  struct reported_wait
   {
     std::size_t lines = 0;
     const log_line* longest = nullptr;
   };
-  std::map<std::string, told_wait> by_wait;
+  std::map<std::string, reported_wait> by_wait;
   for (const log_line& line : lines)
   {
     if (line.event != "lasting_task_waits")
       continue;
-    told_wait& told = by_wait[line.text("wait")];
-    ++told.lines;
-    if (told.longest == nullptr || line.number("waited_ms") > told.longest->number("waited_ms"))
-      told.longest = &line;
+    reported_wait& reported = by_wait[line.text("wait")];
+    ++reported.lines;
+    if (reported.longest == nullptr ||
+        line.number("waited_ms") > reported.longest->number("waited_ms"))
+      reported.longest = &line;
   }
-  std::vector<std::pair<std::string, told_wait>> order(by_wait.begin(), by_wait.end());
+  std::vector<std::pair<std::string, reported_wait>> order(by_wait.begin(), by_wait.end());
   std::stable_sort(order.begin(), order.end(),
                    [](const auto& left, const auto& right)
                    { return left.second.lines > right.second.lines; });
   std::string cause;
-  for (const auto& [wait, told] : order)
+  for (const auto& [wait, reported] : order)
   {
-    const log_line& line = *told.longest;
+    const log_line& line = *reported.longest;
     const auto waited = milliseconds(static_cast<std::int64_t>(line.number("waited_ms")));
-    cause += cause.empty() ? "; a task that lasts did not run: " : ", ";
-    cause += wait + " (" + std::to_string(told.lines) + (told.lines == 1 ? " line" : " lines") +
-             ", up to " + in_seconds(waited);
+    cause += cause.empty() ? "; a long-running task did not run: " : ", ";
+    cause += wait + " (" + std::to_string(reported.lines) +
+             (reported.lines == 1 ? " line" : " lines") + ", up to " + in_seconds(waited);
     const std::string worker = line.text("worker");
     cause += worker.empty() ? ")" : ", worker " + worker + " in zone " + line.text("zone") + ")";
   }
@@ -256,57 +264,57 @@
 }
 } // namespace
 
-std::string_view to_text(outcome how)
+std::string_view to_text(outcome value)
 {
   static constexpr std::array<std::string_view, 6> k_names{"unknown", "refused", "in time",
                                                            "late",    "failed",  "cancelled"};
-  return k_names[static_cast<std::size_t>(how)];
+  return k_names[static_cast<std::size_t>(value)];
 }
 
 explanation explain(const std::string& request, const std::vector<log_line>& log)
 {
-  explanation told;
-  told.lines = lines_of(request, log);
-  told.how = outcome_of(told.lines);
-  const wait longest = longest_wait(told.lines);
-  told.longest_wait = longest.length();
+  explanation explained;
+  explained.lines = lines_of(request, log);
+  explained.result = outcome_of(explained.lines);
+  const wait longest = longest_wait(explained.lines);
+  explained.longest_wait = longest.length();
   if (longest.from != nullptr)
   {
-    const named_parts named{processes_in(told.lines), workers_in(told.lines)};
-    std::copy_if(log.begin(), log.end(), std::back_inserter(told.meanwhile),
-                 [&longest, &named](const log_line& line)
+    const involved_parties involved{processes_in(explained.lines), workers_in(explained.lines)};
+    std::copy_if(log.begin(), log.end(), std::back_inserter(explained.delays),
+                 [&longest, &involved](const log_line& line)
                  {
                    return line.request.empty() && line.at >= longest.from->at &&
-                          line.at <= longest.to->at && may_hold_up(line, named);
+                          line.at <= longest.to->at && may_delay(line, involved);
                  });
-    std::stable_sort(told.meanwhile.begin(), told.meanwhile.end(),
+    std::stable_sort(explained.delays.begin(), explained.delays.end(),
                      [](const log_line& left, const log_line& right)
                      { return left.at < right.at; });
   }
-  if (told.lines.empty())
-    told.cause = "no line names this request";
-  else if (told.how == outcome::refused)
-    told.cause = refusal_cause(told.lines.back());
-  else if (told.how == outcome::failed)
-    told.cause = failure_cause(told.lines);
-  else if (told.how == outcome::cancelled)
-    told.cause = "it was cancelled";
+  if (explained.lines.empty())
+    explained.cause = "no line names this request";
+  else if (explained.result == outcome::refused)
+    explained.cause = refusal_cause(explained.lines.back());
+  else if (explained.result == outcome::failed)
+    explained.cause = failure_cause(explained.lines);
+  else if (explained.result == outcome::cancelled)
+    explained.cause = "it was cancelled";
   else
-    told.cause = late_cause(longest, told.meanwhile);
-  told.cause += lasting_cause(told.lines);
-  return told;
+    explained.cause = late_cause(longest, explained.delays);
+  explained.cause += long_running_wait_cause(explained.lines);
+  return explained;
 }
 
-std::string to_text(const explanation& told)
+std::string to_text(const explanation& explained)
 {
-  std::string text = std::string(to_text(told.how)) + ": " + told.cause + "\n";
-  if (told.lines.empty())
+  std::string text = std::string(to_text(explained.result)) + ": " + explained.cause + "\n";
+  if (explained.lines.empty())
     return text;
-  const log_time begin = told.lines.front().at;
+  const log_time begin = explained.lines.front().at;
   std::vector<std::pair<const log_line*, const char*>> all;
-  for (const log_line& line : told.lines)
+  for (const log_line& line : explained.lines)
     all.emplace_back(&line, "  ");
-  for (const log_line& line : told.meanwhile)
+  for (const log_line& line : explained.delays)
     all.emplace_back(&line, "| ");
   std::stable_sort(all.begin(), all.end(),
                    [](const auto& left, const auto& right)
--- a/Source/Core/Explain/Explanation.h
+++ b/Source/Core/Explain/Explanation.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// From a request's id to what became of it and why, out of the log lines of all instances.
+// Explains the outcome of a request, given its id, from the event logs of all instances.
 
 #include <chrono>
 #include <optional>
@@ -16,7 +16,7 @@
 {
 enum class outcome
 {
-  unknown, // no line names the request, or it has not ended
+  unknown, // no line names the request, or the request has not ended
   refused, // its last line is a refusal
   in_time,
   late,
@@ -24,21 +24,21 @@
   cancelled
 };
 
-std::string_view to_text(outcome how);
+std::string_view to_text(outcome value);
 
 struct explanation
 {
-  outcome how = outcome::unknown;
-  std::string cause; // one sentence
-  // The request's own lines in order, and those about the processes that fall into its longest
-  // wait.
-  std::vector<log_line> lines;
-  std::vector<log_line> meanwhile;
-  std::chrono::milliseconds longest_wait{0}; // between two of its lines
+  outcome result = outcome::unknown;
+  std::string cause;           // one sentence
+  std::vector<log_line> lines; // the request's own lines, ordered by time
+  // Lines about processes and workers that may have delayed the request during its longest wait,
+  // ordered by time.
+  std::vector<log_line> delays;
+  std::chrono::milliseconds longest_wait{0}; // the longest time between two of the request's lines
 };
 
 explanation explain(const std::string& request, const std::vector<log_line>& log);
 
-// What an operator reads: times in seconds from the request's first line.
-std::string to_text(const explanation& told);
+// The explanation as text for an operator. Times are in seconds since the request's first line.
+std::string to_text(const explanation& explained);
 } // namespace yardhill::explain
--- a/Source/Core/Explain/LogLine.cpp
+++ b/Source/Core/Explain/LogLine.cpp
@@ -12,7 +12,7 @@
 {
 using nlohmann::json;
 
-// "2026-12-02T15:50:36.332+00:00": the log is written in UTC.
+// Parses "2026-12-02T15:50:36.332+00:00". The offset is ignored, since the log is written in UTC.
 std::optional<log_time> time_from(const std::string& text)
 {
   struct part
--- a/Source/Core/Explain/LogLine.h
+++ b/Source/Core/Explain/LogLine.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// A line of the log as it is read back. docs/OPERATIONS.md lists the events.
+// Parses lines of the event log. docs/OPERATIONS.md lists the events.
 
 #include <chrono>
 #include <optional>
@@ -18,17 +18,17 @@
 
 struct log_line
 {
-  log_time at; // by the clock of the process that wrote it
+  log_time at; // by the clock of the process that wrote the line
   std::string process;
   std::string event;
-  std::string request; // empty: about the process
-  nlohmann::json fields;
+  std::string request;   // id of the request; empty: the line is about the process
+  nlohmann::json fields; // all other fields
 
-  std::string text(const char* field) const;
-  double number(const char* field) const; // 0 if it is not there
+  std::string text(const char* field) const; // empty if there is no such text field
+  double number(const char* field) const;    // 0 if there is no such number field
 };
 
-// Nothing for a line that is none of ours. What stands before the object, such as a collector's
-// own time and host, is passed over.
+// None if the text is not a line of the event log. Text before the JSON object, such as the time
+// and host that a log collector adds, is skipped.
 std::optional<log_line> log_line_from(std::string_view text);
 } // namespace yardhill::explain
