--- a/Source/Core/Common/BootClock.h
+++ b/Source/Core/Common/BootClock.h
@@ -4,9 +4,9 @@
 #pragma once
 
 // A monotonic clock that also counts the time during which the machine is suspended.
-// std::chrono::steady_clock stops during a suspension. A resumed process would then take its
-// leases, its claims and the data that it has read for younger than they are, and would go on
-// sending requests to workers that a new owner has taken over.
+// std::chrono::steady_clock stops during a suspension. A resumed process would then consider
+// its leases, its claims and the data that it has read younger than they are, and would go on
+// sending requests to workers beside the owner that has taken over from it.
 
 #include <ctime>
 
@@ -14,8 +14,7 @@
 
 namespace yardhill::common
 {
-// Never decreases. Event-loop timers do not follow this clock: after a suspension they may be late
-// by its length.
+// Never decreases. Timers of an event loop may still be late by the length of a suspension.
 inline time_point boot_time()
 {
   timespec since_boot{};
--- a/Source/Core/Common/CellConfig.h
+++ b/Source/Core/Common/CellConfig.h
@@ -87,7 +87,7 @@
 zone_id home_zone(const task_id& task, const workload_config& workload, const cell_config& cell);
 // The task's home partition within its home zone `zone`.
 partition_id home_partition(const task_id& task, const zone_config& zone);
-// The task id of a service's replica; the same after each restart.
+// The task id of a service's replica, which does not change when the replica is replaced.
 task_id replica_task_id(const workload_id& workload, std::uint32_t replica);
 // A task with the workload's settings. The calling code sets `id`, `keyed` and `waits`.
 task_spec task_of(const workload_config& workload);
--- a/Source/Core/Common/ConfigParser.h
+++ b/Source/Core/Common/ConfigParser.h
@@ -25,7 +25,7 @@
                                              problem_list& problems);
 // Merges the files into the one JSON document that is stored and sent. The files must be valid.
 std::string merge_documents(const std::vector<loaded_file>& files);
-// One line for each difference between the two documents: its path, the operation and the new
-// value.
+// One line for each difference between the two documents: its path, the operation and, unless it is
+// an object or a list, the new value.
 std::vector<std::string> differing_fields(const std::string& left, const std::string& right);
 } // namespace yardhill::common
--- a/Source/Core/Common/EventLog.h
+++ b/Source/Core/Common/EventLog.h
@@ -64,7 +64,7 @@
 // How many bytes of the buffered `lines` to pass to one write: at most `most`, ending after a whole
 // line unless the first line alone is longer than that.
 std::size_t bytes_to_write(std::string_view lines, std::size_t most);
-// Writes the buffered lines, and a line with the number of dropped lines if it has grown.
+// Writes the buffered lines and, if further lines have been dropped, a line with their number.
 void flush_event_log();
 std::uint64_t dropped_log_lines();
 } // namespace yardhill::common
--- a/Source/Core/Common/HttpCall.cpp
+++ b/Source/Core/Common/HttpCall.cpp
@@ -7,8 +7,8 @@
 {
 namespace
 {
-// Whether the exception shows that no byte of the request can have been sent. cpprest reports some
-// connection failures only in the message text.
+// Whether the exception shows that no byte of the request can have been sent: checks the message
+// texts and the error code that cpprest uses for that case.
 bool never_connected(const web::http::http_exception& error)
 {
   const std::string message = error.what();
--- a/Source/Core/Common/Ids.h
+++ b/Source/Core/Common/Ids.h
@@ -51,8 +51,8 @@
 using term_number = std::uint64_t;
 
 // Number of an attempt: the owner's term in the upper 32 bits, the owner's own counter in the lower
-// 32. No two attempts of a task ever have the same number, even if the partition changes its owner
-// and the new owner does not know of earlier attempts.
+// 32. No two attempts in a partition ever have the same number, even if the partition changes its
+// owner and the new owner does not know of earlier attempts.
 using attempt_number = std::uint64_t;
 
 // One attempt at running one member of a task. Only gangs have several members; any other task has
--- a/Source/Core/Common/InstanceSettings.cpp
+++ b/Source/Core/Common/InstanceSettings.cpp
@@ -65,10 +65,10 @@
 
 endpoint read_endpoint(field_reader& in)
 {
-  endpoint where;
-  where.address = in.text("address");
-  where.port = static_cast<std::uint16_t>(in.integer("port", {1, k_max_port}));
-  return where;
+  endpoint result;
+  result.address = in.text("address");
+  result.port = static_cast<std::uint16_t>(in.integer("port", {1, k_max_port}));
+  return result;
 }
 
 endpoint read_listener(field_reader& in, const char* name)
@@ -76,9 +76,9 @@
   std::optional<field_reader> section = in.object(name, true);
   if (!section)
     return {};
-  endpoint where = read_endpoint(*section);
+  endpoint result = read_endpoint(*section);
   section->finish();
-  return where;
+  return result;
 }
 
 std::size_t read_size(field_reader& in, const char* name, std::int64_t max, std::size_t fallback)
@@ -118,7 +118,7 @@
   }
 }
 
-// Reports time spans that contradict each other.
+// Reports time spans that are not longer than the span that they must exceed.
 void check_spans(field_reader& in, const ownership_options& spans)
 {
   if (spans.claim_timeout <= spans.claim_wait)
@@ -134,9 +134,9 @@
 }
 } // namespace
 
-std::string to_text(const endpoint& where)
+std::string to_text(const endpoint& value)
 {
-  return where.address + ":" + std::to_string(where.port);
+  return value.address + ":" + std::to_string(value.port);
 }
 
 std::optional<endpoint> endpoint_from(const std::string& text)
@@ -144,13 +144,13 @@
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0)
     return std::nullopt;
-  endpoint where;
-  where.address = text.substr(0, colon);
+  endpoint result;
+  result.address = text.substr(0, colon);
   const char* const end = text.data() + text.size();
-  const auto [last, error] = std::from_chars(text.data() + colon + 1, end, where.port);
+  const auto [last, error] = std::from_chars(text.data() + colon + 1, end, result.port);
   if (error != std::errc() || last != end)
     return std::nullopt;
-  return where;
+  return result;
 }
 
 std::optional<instance_settings>
--- a/Source/Core/Common/InstanceSettings.h
+++ b/Source/Core/Common/InstanceSettings.h
@@ -24,7 +24,7 @@
   bool operator==(const endpoint&) const = default;
 };
 
-std::string to_text(const endpoint& where);
+std::string to_text(const endpoint& value);
 // Parses "10.128.0.9:8080"; none if the text is not an address with a port.
 std::optional<endpoint> endpoint_from(const std::string& text);
 
--- a/Source/Core/Common/Metrics.cpp
+++ b/Source/Core/Common/Metrics.cpp
@@ -121,14 +121,14 @@
   m_counters.at(static_cast<std::size_t>(which)).fetch_add(amount, std::memory_order_relaxed);
 }
 
-void metrics::add(refusal_reason why)
+void metrics::add(refusal_reason reason)
 {
-  m_refusals.at(static_cast<std::size_t>(why)).fetch_add(1, std::memory_order_relaxed);
+  m_refusals.at(static_cast<std::size_t>(reason)).fetch_add(1, std::memory_order_relaxed);
 }
 
-void metrics::add(retry_reason why)
+void metrics::add(retry_reason reason)
 {
-  m_retries.at(static_cast<std::size_t>(why)).fetch_add(1, std::memory_order_relaxed);
+  m_retries.at(static_cast<std::size_t>(reason)).fetch_add(1, std::memory_order_relaxed);
 }
 
 void metrics::set(gauge which, std::uint64_t value)
@@ -154,14 +154,14 @@
   return m_gauges.at(static_cast<std::size_t>(which)).load(std::memory_order_relaxed);
 }
 
-std::uint64_t metrics::value(refusal_reason why) const
+std::uint64_t metrics::value(refusal_reason reason) const
 {
-  return m_refusals.at(static_cast<std::size_t>(why)).load(std::memory_order_relaxed);
+  return m_refusals.at(static_cast<std::size_t>(reason)).load(std::memory_order_relaxed);
 }
 
-std::uint64_t metrics::value(retry_reason why) const
+std::uint64_t metrics::value(retry_reason reason) const
 {
-  return m_retries.at(static_cast<std::size_t>(why)).load(std::memory_order_relaxed);
+  return m_retries.at(static_cast<std::size_t>(reason)).load(std::memory_order_relaxed);
 }
 
 duration metrics::quantile(timing which, double quantile) const
--- a/Source/Core/Common/Metrics.h
+++ b/Source/Core/Common/Metrics.h
@@ -96,15 +96,15 @@
   metrics& operator=(const metrics&) = delete;
 
   void add(counter which, std::uint64_t amount = 1);
-  void add(refusal_reason why);
-  void add(retry_reason why);
+  void add(refusal_reason reason);
+  void add(retry_reason reason);
   void set(gauge which, std::uint64_t value);
   void record(timing which, duration value);
 
   std::uint64_t value(counter which) const;
   std::uint64_t value(gauge which) const;
-  std::uint64_t value(refusal_reason why) const;
-  std::uint64_t value(retry_reason why) const;
+  std::uint64_t value(refusal_reason reason) const;
+  std::uint64_t value(retry_reason reason) const;
   // The smallest bucket bound that at least the fraction `quantile` (0 to 1) of the recorded values
   // does not exceed; 0 if there are no values.
   duration quantile(timing which, double quantile) const;
--- a/Source/Core/Common/Options.h
+++ b/Source/Core/Common/Options.h
@@ -77,7 +77,7 @@
   duration circuit_open = std::chrono::seconds{10};
   duration circuit_open_most = std::chrono::minutes{5};
   duration gang_timeout = std::chrono::seconds{20};
-  // A waiting task gains one priority level per such time.
+  // A waiting task gains one priority level each time it has waited this long.
   duration ageing_step = std::chrono::minutes{5};
   bool learn = true; // use measured run times in place of the declared ones
   // Checkpoint batch tasks when an interactive task finds no free capacity.
--- a/Source/Core/Common/Task.h
+++ b/Source/Core/Common/Task.h
@@ -89,8 +89,8 @@
   bool is_final() const { return result != outcome::accepted; }
 };
 
-// A refusal of a task that certainly has not run. `retry_after` says when the caller may retry;
-// 0: a retry is of no use.
+// A refusal of a task that certainly has not run. `retry_after` is how long the caller should
+// wait before it retries; 0: a retry is of no use.
 answer refuse(const task_id& task, refusal_reason reason, std::string detail, std::string step,
               duration retry_after);
 // An answer for a task that may have run: its outcome is unknown.
--- a/Source/Core/Explain/Explanation.cpp
+++ b/Source/Core/Explain/Explanation.cpp
@@ -151,8 +151,8 @@
          evidence_of(line);
 }
 
-// The cause if a task was given up because it was lost with its workers too often. None of its runs
-// has reported an end, so the crashes are not counted as failed runs.
+// The cause if a task was given up because it was lost with its workers too often: none of its runs
+// has reported an end.
 std::string crash_cause(const log_line& given_up)
 {
   const auto count = [&given_up](const char* field)
--- a/Source/Core/Explain/Explanation.h
+++ b/Source/Core/Explain/Explanation.h
@@ -34,7 +34,8 @@
   // Lines about processes and workers that may have delayed the request during its longest wait,
   // ordered by time.
   std::vector<log_line> delays;
-  std::chrono::milliseconds longest_wait{0}; // the longest time between two of the request's lines
+  // The longest time between two successive lines of the request that show progress.
+  std::chrono::milliseconds longest_wait{0};
 };
 
 explanation explain(const std::string& request, const std::vector<log_line>& log);
--- a/Source/Core/Jobs/JobSpec.h
+++ b/Source/Core/Jobs/JobSpec.h
@@ -26,7 +26,8 @@
   std::uint32_t count = 1;
   resources demand; // of one task
   milliseconds estimate{0};
-  std::vector<std::uint32_t> depends_on; // steps that must be done, with all tasks, before this one
+  std::vector<std::uint32_t>
+      depends_on; // steps whose tasks must all be done before this one starts
   bool checkpointing = false;
   bool gang = false;          // the tasks start and end together
   bool one_rack = false;      // slower when spread over several racks
