--- a/Source/Core/Common/InstanceSettings.cpp
+++ b/Source/Core/Common/InstanceSettings.cpp
@@ -12,8 +12,8 @@
 {
 namespace
 {
-constexpr std::int64_t k_most_port = 65535;
-constexpr duration k_least_span = std::chrono::milliseconds{1};
+constexpr std::int64_t k_max_port = 65535;
+constexpr duration k_min_span = std::chrono::milliseconds{1};
 
 template<class options>
 struct span_field
@@ -60,15 +60,15 @@
                 options& into)
 {
   for (const span_field<options>& field : fields)
-    into.*field.member = in.time_span(field.name, k_least_span, into.*field.member);
+    into.*field.member = in.time_span(field.name, k_min_span, into.*field.member);
 }
 
 endpoint read_endpoint(field_reader& in)
 {
-  endpoint where;
-  where.address = in.text("address");
-  where.port = static_cast<std::uint16_t>(in.integer("port", {1, k_most_port}));
-  return where;
+  endpoint result;
+  result.address = in.text("address");
+  result.port = static_cast<std::uint16_t>(in.integer("port", {1, k_max_port}));
+  return result;
 }
 
 endpoint read_listener(field_reader& in, const char* name)
@@ -76,32 +76,32 @@
   std::optional<field_reader> section = in.object(name, true);
   if (!section)
     return {};
-  endpoint where = read_endpoint(*section);
+  endpoint result = read_endpoint(*section);
   section->finish();
-  return where;
+  return result;
 }
 
-std::size_t read_size(field_reader& in, const char* name, std::int64_t most, std::size_t fallback)
+std::size_t read_size(field_reader& in, const char* name, std::int64_t max, std::size_t fallback)
 {
-  return static_cast<std::size_t>(in.integer(name, {1, most}, static_cast<std::int64_t>(fallback)));
+  return static_cast<std::size_t>(in.integer(name, {1, max}, static_cast<std::int64_t>(fallback)));
 }
 
 void read_limits(field_reader& in, instance_settings& settings)
 {
-  constexpr std::int64_t most_count = 1'000'000;
-  constexpr std::int64_t most_bytes = 64LL << 20U;
+  constexpr std::int64_t max_count = 1'000'000;
+  constexpr std::int64_t max_bytes = 64LL << 20U;
   scheduling_options& scheduling = settings.core.scheduling;
-  settings.most_body = read_size(in, "request_bytes", most_bytes, settings.most_body);
+  settings.most_body = read_size(in, "request_bytes", max_bytes, settings.most_body);
 
   settings.threads = read_size(in, "http_threads", 64, settings.threads);
   settings.core.routing.max_pending_requests =
-      read_size(in, "pending_requests", most_count, settings.core.routing.max_pending_requests);
-  scheduling.max_queued = read_size(in, "queued_tasks", most_count, scheduling.max_queued);
+      read_size(in, "pending_requests", max_count, settings.core.routing.max_pending_requests);
+  scheduling.max_queued = read_size(in, "queued_tasks", max_count, scheduling.max_queued);
   scheduling.max_queued_interactive =
-      read_size(in, "queued_interactive", most_count, scheduling.max_queued_interactive);
-  scheduling.max_retained = read_size(in, "retained_tasks", most_count, scheduling.max_retained);
+      read_size(in, "queued_interactive", max_count, scheduling.max_queued_interactive);
+  scheduling.max_retained = read_size(in, "retained_tasks", max_count, scheduling.max_retained);
   scheduling.max_retained_bytes =
-      read_size(in, "retained_bytes", most_bytes, scheduling.max_retained_bytes);
+      read_size(in, "retained_bytes", max_bytes, scheduling.max_retained_bytes);
   in.finish();
 }
 
@@ -118,7 +118,7 @@
   }
 }
 
-// Spans that only make sense together.
+// Reports time spans that are not longer than the span that they must exceed.
 void check_spans(field_reader& in, const ownership_options& spans)
 {
   if (spans.claim_timeout <= spans.claim_wait)
@@ -134,9 +134,9 @@
 }
 } // namespace
 
-std::string to_text(const endpoint& where)
+std::string to_text(const endpoint& value)
 {
-  return where.address + ":" + std::to_string(where.port);
+  return value.address + ":" + std::to_string(value.port);
 }
 
 std::optional<endpoint> endpoint_from(const std::string& text)
@@ -144,13 +144,13 @@
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0)
     return std::nullopt;
-  endpoint where;
-  where.address = text.substr(0, colon);
+  endpoint result;
+  result.address = text.substr(0, colon);
   const char* const end = text.data() + text.size();
-  const auto [last, error] = std::from_chars(text.data() + colon + 1, end, where.port);
+  const auto [last, error] = std::from_chars(text.data() + colon + 1, end, result.port);
   if (error != std::errc() || last != end)
     return std::nullopt;
-  return where;
+  return result;
 }
 
 std::optional<instance_settings>
--- a/Source/Core/Common/Metrics.h
+++ b/Source/Core/Common/Metrics.h
@@ -3,10 +3,10 @@
 
 #pragma once
 
-// Counters and histograms of one instance, and their text exposition.
+// Counters, gauges and histograms of one instance, and their text exposition.
 //
-// The core counts on its own thread; a scrape may come from another, so counters are atomic and
-// histograms are copied under a lock.
+// The core records on its own thread and a scrape may read on another, so counters and gauges are
+// atomic and histograms are guarded by a lock.
 
 #include <array>
 #include <atomic>
@@ -96,18 +96,19 @@
   metrics& operator=(const metrics&) = delete;
 
   void add(counter which, std::uint64_t amount = 1);
-  void add(refusal_reason why);
-  void add(retry_reason why);
+  void add(refusal_reason reason);
+  void add(retry_reason reason);
   void set(gauge which, std::uint64_t value);
   void record(timing which, duration value);
 
   std::uint64_t value(counter which) const;
   std::uint64_t value(gauge which) const;
-  std::uint64_t value(refusal_reason why) const;
-  std::uint64_t value(retry_reason why) const;
-  // The smallest bucket bound that `quantile` (0 to 1) of the recorded values do not exceed.
+  std::uint64_t value(refusal_reason reason) const;
+  std::uint64_t value(retry_reason reason) const;
+  // The smallest bucket bound that at least the fraction `quantile` (0 to 1) of the recorded values
+  // does not exceed; 0 if there are no values.
   duration quantile(timing which, double quantile) const;
-  // How many values were recorded, and their sum.
+  // The number of recorded values and their sum.
   struct recorded
   {
     std::uint64_t count = 0;
@@ -115,7 +116,7 @@
   };
   recorded total(timing which) const;
 
-  // The usual text exposition, one family per kind, times in seconds.
+  // The metrics in the Prometheus text format: one family per metric, times in seconds.
   std::string exposition() const;
 
 private:
