--- a/Source/Core/Instance/RequestRouter.cpp
+++ b/Source/Core/Instance/RequestRouter.cpp
@@ -95,14 +95,16 @@
   bool refused = !fill_spec(request, cell, made.spec, refusal);
   if (!refused && m_stopping)
   {
-    refusal = turn_away(made.spec, refusal_reason::instance_stopping,
-                        "this instance is stopping; ask another", "accept", m_options.retry_after_delay);
+    refusal =
+        turn_away(made.spec, refusal_reason::instance_stopping,
+                  "this instance is stopping; ask another", "accept", m_options.retry_after_delay);
     refused = true;
   }
   if (!refused && m_pending.size() >= m_options.max_pending_requests)
   {
-    refusal = turn_away(made.spec, refusal_reason::queue_full,
-                        "too many requests are under way here", "accept", m_options.retry_after_delay);
+    refusal =
+        turn_away(made.spec, refusal_reason::queue_full, "too many requests are under way here",
+                  "accept", m_options.retry_after_delay);
     refused = true;
   }
   if (refused)
@@ -403,9 +405,9 @@
     pending_request& request = found->second;
     if (now >= request.due)
     {
-      finish(number,
-             unclear(request.spec.id, refusal_reason::owner_unreachable,
-                     "no answer came in time; ask for its status", "route", m_options.retry_after_delay));
+      finish(number, unclear(request.spec.id, refusal_reason::owner_unreachable,
+                             "no answer came in time; ask for its status", "route",
+                             m_options.retry_after_delay));
       continue;
     }
     if (request.where == place::parked && now >= request.next_try)
--- a/Source/Core/Node/NodeCore.cpp
+++ b/Source/Core/Node/NodeCore.cpp
@@ -234,7 +234,8 @@
   }
 }
 
-void node_core::on_way_report(const std::string& peer, const common::store_reachability_report& report)
+void node_core::on_way_report(const std::string& peer,
+                              const common::store_reachability_report& report)
 {
   m_peers.on_report(peer, report);
   m_configuration.on_peer_report(report);
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -131,11 +131,12 @@
   const auto quiet = std::chrono::floor<std::chrono::milliseconds>(m_dependencies.time.now() -
                                                                    m_no_requests_since);
   m_dependencies.send_to_peer(
-      peer,
-      common::previous_requests_reply{m_partition, question.epoch, static_cast<std::uint64_t>(quiet.count())});
+      peer, common::previous_requests_reply{m_partition, question.epoch,
+                                            static_cast<std::uint64_t>(quiet.count())});
 }
 
-void partition_owner::on_orders_reply(const std::string& peer, const common::previous_requests_reply& reply)
+void partition_owner::on_orders_reply(const std::string& peer,
+                                      const common::previous_requests_reply& reply)
 {
   if (m_previous_requests.on_reply(peer, reply) && m_scheduler)
     m_scheduler->shorten_earlier_owners_leases(previous_leases_end());
--- a/Source/Core/Node/PeerMonitor.cpp
+++ b/Source/Core/Node/PeerMonitor.cpp
@@ -95,7 +95,8 @@
   m_send(name, own);
 }
 
-void peer_monitor::on_report(const std::string& name, const common::store_reachability_report& report)
+void peer_monitor::on_report(const std::string& name,
+                             const common::store_reachability_report& report)
 {
   const auto found = m_peers.find(name);
   if (found == m_peers.end())
@@ -104,7 +105,8 @@
   found->second.reaches_store = report.has_way;
 }
 
-void peer_monitor::on_strength(const std::string& name, const common::processor_capacity_report& report)
+void peer_monitor::on_strength(const std::string& name,
+                               const common::processor_capacity_report& report)
 {
   const auto found = m_peers.find(name);
   if (found != m_peers.end())
--- a/Source/Core/Node/PreviousOwnerRequests.cpp
+++ b/Source/Core/Node/PreviousOwnerRequests.cpp
@@ -48,7 +48,8 @@
   m_send_to_peer(m_instance, common::previous_requests_query{m_partition, m_epoch});
 }
 
-bool previous_owner_requests::on_reply(const std::string& peer, const common::previous_requests_reply& reply)
+bool previous_owner_requests::on_reply(const std::string& peer,
+                                       const common::previous_requests_reply& reply)
 {
   if (peer != m_instance || reply.partition != m_partition || reply.epoch != m_epoch)
     return false;
--- a/Source/Core/Ownership/EndedRows.cpp
+++ b/Source/Core/Ownership/EndedRows.cpp
@@ -51,7 +51,8 @@
 void ended_rows::choose_outdated(time_point now)
 {
   m_outdated.clear();
-  while (!m_kept.empty() && m_kept.front().until <= now && m_outdated.size() < m_options.max_records_per_transaction)
+  while (!m_kept.empty() && m_kept.front().until <= now &&
+         m_outdated.size() < m_options.max_records_per_transaction)
   {
     m_outdated.push_back(std::move(m_kept.front().key));
     m_kept.pop_front();
--- a/Source/Core/Scheduling/CrashWatch.cpp
+++ b/Source/Core/Scheduling/CrashWatch.cpp
@@ -97,7 +97,8 @@
 
 std::size_t lost_starts(const jobs::crash_history& crashes)
 {
-  return counted_losses(crashes) + crashes.unanswered + crashes.by_chance + crashes.unexplained_losses;
+  return counted_losses(crashes) + crashes.unanswered + crashes.by_chance +
+         crashes.unexplained_losses;
 }
 
 bool suspected(const jobs::crash_history& crashes)
--- a/Source/UnitTests/Node/JobStateQueriesTest.cpp
+++ b/Source/UnitTests/Node/JobStateQueriesTest.cpp
@@ -34,14 +34,14 @@
   std::vector<std::unique_ptr<node::partition_owner>> owning;
   std::vector<std::unique_ptr<node::partition_owner>> following;
   bool disconnected = false;
-  node::job_state_queries at_owner{own.time,
-                                   [this](const std::string&, const common::peer_message& message)
-                                   {
-                                     if (!disconnected)
-                                       follower.on_reply("instance-1",
-                                                         std::get<common::job_state_reply>(message));
-                                   },
-                                   owning};
+  node::job_state_queries at_owner{
+      own.time,
+      [this](const std::string&, const common::peer_message& message)
+      {
+        if (!disconnected)
+          follower.on_reply("instance-1", std::get<common::job_state_reply>(message));
+      },
+      owning};
   node::job_state_queries follower{
       own.time,
       [this](const std::string& peer, const common::peer_message& message)
--- a/Source/UnitTests/Node/PeerMonitorTest.cpp
+++ b/Source/UnitTests/Node/PeerMonitorTest.cpp
@@ -297,8 +297,9 @@
   }
   BOOST_TEST(sent.size() <= 4U * 15U + 146U);
   const auto often = std::count_if(sent.begin(), sent.end(),
-                                   [](const common::peer_message& each)
-                                   { return std::get<common::store_reachability_query>(each).often; });
+                                   [](const common::peer_message& each) {
+                                     return std::get<common::store_reachability_query>(each).often;
+                                   });
   BOOST_TEST(often == 4 * 15);
 }
 
