--- a/Source/Core/Instance/PartitionHome.cpp
+++ b/Source/Core/Instance/PartitionHome.cpp
@@ -116,7 +116,7 @@
 
 void partition_home::give_up(time_point now)
 {
-  m_ownership.renounce(now);
+  m_ownership.release_ownership(now);
 }
 
 void partition_home::advance(time_point now)
@@ -136,8 +136,8 @@
   ownership::ownership_output out = m_ownership.take_output();
   if (out.lost)
     lose();
-  if (out.wanted_term)
-    m_store.want_term(*out.wanted_term);
+  if (out.requested_term)
+    m_store.request_term(*out.requested_term);
   if (out.became_owner)
     gain(now);
   for (const ownership::lost_worker& lost : out.lost_workers)
@@ -148,21 +148,21 @@
   for (const ownership::worker_report& report : out.reports)
   {
     m_scheduler.worker_news(report.worker, report.news, report.voided, now);
-    m_ownership.set_settled(report.worker, m_scheduler.settled_up_to(report.worker));
+    m_ownership.set_acknowledged(report.worker, m_scheduler.settled_up_to(report.worker));
   }
   if (out.every_worker_claimed)
     m_scheduler.end_quarantine(now);
   for (ownership::worker_claim& claim : out.claims)
     m_output.commands.emplace_back(
         send_claim{claim.worker, m_addresses[claim.worker], std::move(claim.request)});
-  return out.lost || out.wanted_term || out.became_owner || !out.reports.empty() ||
+  return out.lost || out.requested_term || out.became_owner || !out.reports.empty() ||
          !out.lost_workers.empty();
 }
 
 void partition_home::gain(time_point now)
 {
   log(log_level::info, "takeover", m_self.value, {}, "owns " + to_text(m_partition));
-  m_scheduler.begin_term(m_ownership.term(), m_ownership.foreign_until(), now);
+  m_scheduler.begin_term(m_ownership.term(), m_ownership.other_owners_runs_end(), now);
   m_store.begin_term(m_ownership.term());
   m_output.gained = true;
 }
--- a/Source/Core/Ownership/PartitionOwnership.cpp
+++ b/Source/Core/Ownership/PartitionOwnership.cpp
@@ -134,7 +134,7 @@
   m_phase_ends = now + k_taking_time;
   m_offered = false;
   m_term = term;
-  m_output.wanted_term = term;
+  m_output.requested_term = term;
 }
 
 void partition_ownership::term_allotted(term_number term, time_point now)
@@ -257,7 +257,7 @@
     m_output.lost_workers.push_back(std::move(*lost));
 }
 
-void partition_ownership::renounce(time_point now)
+void partition_ownership::release_ownership(time_point now)
 {
   if (m_phase == ownership_phase::following)
     return;
@@ -338,7 +338,7 @@
   if (m_claims.is_majority(m_claims.confirmed_since(m_contested)))
   {
     m_contested = k_never;
-    m_output.wanted_term = m_known_term + 1;
+    m_output.requested_term = m_known_term + 1;
   }
   else if (now > m_contested + m_options.confirm_window)
   {
--- a/Source/Core/Ownership/PartitionOwnership.h
+++ b/Source/Core/Ownership/PartitionOwnership.h
@@ -46,7 +46,7 @@
 struct ownership_output
 {
   std::vector<worker_claim> claims;
-  std::optional<term_number> wanted_term; // to be asked of the table service, at least this
+  std::optional<term_number> requested_term; // to be asked of the table service, at least this
   bool became_owner = false;
   bool lost = false;
   bool every_worker_claimed = false;
@@ -75,7 +75,7 @@
   // A stopping instance takes nothing.
   void set_candidate(bool candidate) { m_candidate = candidate; }
 
-  // Answers to `wanted_term`.
+  // Answers to `requested_term`.
   void term_allotted(term_number term, time_point now);
   void term_conflict(const instance_id& owner, term_number term, time_point now);
   void term_unavailable(time_point now);
@@ -85,12 +85,12 @@
   void claim_failed(const worker_id& worker, const claim_request& request, time_point now);
   // The next claim to this worker voids all tickets given out before it.
   void void_tickets(const worker_id& worker) { m_claims.void_tickets(worker); }
-  void set_settled(const worker_id& worker, std::uint64_t sequence)
+  void set_acknowledged(const worker_id& worker, std::uint64_t sequence)
   {
-    m_claims.set_settled(worker, sequence);
+    m_claims.set_acknowledged(worker, sequence);
   }
   // Gives the partition up of its own accord.
-  void renounce(time_point now);
+  void release_ownership(time_point now);
 
   void advance(time_point now);
   time_point next_timer() const;
@@ -105,7 +105,7 @@
   // A majority of the workers confirmed the term within the confirm window.
   bool has_majority(time_point now) const;
   // Until when other owners' starts may still run at workers that were not claimed at this term.
-  time_point foreign_until() const { return m_foreign_until; }
+  time_point other_owners_runs_end() const { return m_foreign_until; }
   // The ticket and boot to start with, if this worker was claimed and its ticket is still good.
   std::optional<start_permit> permit_for(const worker_id& worker, time_point now) const;
   std::size_t claimed_workers() const { return m_claims.claimed(); }
--- a/Source/Core/Ownership/PartitionStore.cpp
+++ b/Source/Core/Ownership/PartitionStore.cpp
@@ -23,7 +23,7 @@
 {
 }
 
-void partition_store::want_term(term_number term)
+void partition_store::request_term(term_number term)
 {
   m_term.want(term);
   m_pace.skip_wait();
--- a/Source/Core/Ownership/PartitionStore.h
+++ b/Source/Core/Ownership/PartitionStore.h
@@ -58,7 +58,7 @@
                   metrics& counts);
 
   // Ask the table for a term of at least this number.
-  void want_term(term_number term);
+  void request_term(term_number term);
   // This instance owns the partition at `term`, whether or not the table allotted it.
   void begin_term(term_number term);
   void end_term();
--- a/Source/Core/Ownership/WorkerClaims.cpp
+++ b/Source/Core/Ownership/WorkerClaims.cpp
@@ -142,7 +142,7 @@
     found->second.void_next = true;
 }
 
-void worker_claims::set_settled(const worker_id& worker, std::uint64_t sequence)
+void worker_claims::set_acknowledged(const worker_id& worker, std::uint64_t sequence)
 {
   const auto found = m_links.find(worker);
   if (found != m_links.end())
--- a/Source/Core/Ownership/WorkerClaims.h
+++ b/Source/Core/Ownership/WorkerClaims.h
@@ -69,7 +69,7 @@
 
   // The next claim to this worker voids all tickets given out before it.
   void void_tickets(const worker_id& worker);
-  void set_settled(const worker_id& worker, std::uint64_t sequence);
+  void set_acknowledged(const worker_id& worker, std::uint64_t sequence);
 
   std::size_t claimed() const;
   // Workers that confirmed the term by a claim that was sent then or later.
--- a/Source/UnitTests/Ownership/PartitionStoreTest.cpp
+++ b/Source/UnitTests/Ownership/PartitionStoreTest.cpp
@@ -88,7 +88,7 @@
   partition_store owner(const std::string& name, term_number at_least)
   {
     partition_store store = make(name);
-    store.want_term(at_least);
+    store.request_term(at_least);
     const auto out = settle(store);
     store.begin_term(out.allotted.value());
     settle(store);
@@ -102,17 +102,17 @@
 BOOST_AUTO_TEST_CASE(terms_only_grow)
 {
   partition_store first = make("a-1@1");
-  first.want_term(1);
+  first.request_term(1);
   BOOST_TEST(settle(first).allotted.value() == 1U);
   partition_store second = make("a-2@1");
-  second.want_term(1);
+  second.request_term(1);
   BOOST_TEST(settle(second).allotted.value() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_term_whose_answer_was_lost_is_found_by_its_write_id)
 {
   partition_store store = make("a-1@1");
-  store.want_term(1);
+  store.request_term(1);
   BOOST_TEST(settle(store, true).allotted.value() == 1U);
   BOOST_TEST(table.load().writes == 1U);
 }
@@ -162,7 +162,7 @@
   settle(store);
   table.write({{}, {{"task/a/0/open/w/broken", "{"}}}, now);
   partition_store next = make("a-2@1");
-  next.want_term(2);
+  next.request_term(2);
   next.begin_term(settle(next).allotted.value());
   const auto out = settle(next);
   BOOST_REQUIRE(out.loaded);
@@ -237,7 +237,7 @@
 {
   table.write({{}, {{"partition/a/0", "not ours"}}}, now);
   partition_store store = make("a-1@1");
-  store.want_term(1);
+  store.request_term(1);
   BOOST_TEST(!settle(store).allotted);
   BOOST_TEST(table.rows().at("partition/a/0").value == "not ours");
 }
