--- a/Source/Core/Ownership/EndedRows.cpp
+++ b/Source/Core/Ownership/EndedRows.cpp
@@ -10,20 +10,20 @@
 {
 namespace
 {
-constexpr std::uint32_t k_page = 500; // keys
+constexpr std::uint32_t k_keys_per_page = 500;
 } // namespace
 
 void ended_rows::clear()
 {
   m_needs_listing = false;
   m_list_after.clear();
-  m_kept.clear();
-  m_outdated.clear();
+  m_retained.clear();
+  m_expired_keys.clear();
 }
 
 store_read ended_rows::next_page() const
 {
-  store_read request{m_rows.ended_prefix(), m_list_after, k_page};
+  store_read request{m_rows.ended_prefix(), m_list_after, k_keys_per_page};
   request.keys_only = true;
   return request;
 }
@@ -32,7 +32,7 @@
 {
   for (const store_row& listed : page.rows)
   {
-    keep(listed.key, now);
+    retain(listed.key, now);
     m_list_after = listed.key;
   }
   m_needs_listing = page.more;
@@ -40,21 +40,22 @@
 
 void ended_rows::add(const task_id& task, time_point now)
 {
-  keep(m_rows.ended_key(task), now);
+  retain(m_rows.ended_key(task), now);
 }
 
-void ended_rows::keep(std::string key, time_point now)
+void ended_rows::retain(std::string key, time_point now)
 {
-  m_kept.push_back({std::move(key), now + m_options.ended_retention});
+  m_retained.push_back({std::move(key), now + m_options.ended_retention});
 }
 
-void ended_rows::choose_outdated(time_point now)
+void ended_rows::select_expired(time_point now)
 {
-  m_outdated.clear();
-  while (!m_kept.empty() && m_kept.front().until <= now && m_outdated.size() < m_options.most_batch)
+  m_expired_keys.clear();
+  while (!m_retained.empty() && m_retained.front().expires <= now &&
+         m_expired_keys.size() < m_options.most_batch)
   {
-    m_outdated.push_back(std::move(m_kept.front().key));
-    m_kept.pop_front();
+    m_expired_keys.push_back(std::move(m_retained.front().key));
+    m_retained.pop_front();
   }
 }
 } // namespace yardhill::ownership
--- a/Source/Core/Ownership/EndedRows.h
+++ b/Source/Core/Ownership/EndedRows.h
@@ -3,8 +3,9 @@
 
 #pragma once
 
-// When a partition's rows of ended tasks are deleted. The table has no clock of its own: the
-// owner lists what ended under earlier owners, and counts the retention of those rows from then.
+// Decides when the rows of a partition's ended tasks are deleted. The table has no clock of its
+// own: a new owner lists the rows that ended under earlier owners and counts their retention from
+// the time of the listing.
 
 #include <deque>
 #include <string>
@@ -29,37 +30,38 @@
   {
   }
 
-  // The rows have to be listed: this instance has just become their owner.
+  // Requests a listing of the rows, because this instance has just become their owner.
   void begin() { m_needs_listing = true; }
   void clear();
 
   bool needs_listing() const { return m_needs_listing; }
-  // The next page of keys; answer with page_listed.
+  // The read of the next page of keys; its result goes to page_listed.
   store_read next_page() const;
   void page_listed(const store_read_result& page, time_point now);
 
-  // The row of a task that has just ended.
+  // Adds the row of a task that has just ended; the row's retention begins at `now`.
   void add(const task_id& task, time_point now);
 
-  // Chooses the rows that the next transaction deletes, at most as many as it has records.
-  void choose_outdated(time_point now);
-  const std::vector<std::string>& outdated() const { return m_outdated; }
-  void outdated_deleted() { m_outdated.clear(); }
+  // Selects the expired rows that the next transaction deletes: at most as many rows as records may
+  // share a transaction.
+  void select_expired(time_point now);
+  const std::vector<std::string>& expired_keys() const { return m_expired_keys; }
+  void expired_deleted() { m_expired_keys.clear(); }
 
 private:
-  struct kept_row
+  struct retained_row
   {
     std::string key;
-    time_point until;
+    time_point expires;
   };
 
-  void keep(std::string key, time_point now);
+  void retain(std::string key, time_point now);
 
   partition_rows m_rows;
   const ownership_options& m_options;
   bool m_needs_listing = false;
   std::string m_list_after;
-  std::deque<kept_row> m_kept;         // oldest first
-  std::vector<std::string> m_outdated; // keys
+  std::deque<retained_row> m_retained;     // in order of expiry
+  std::vector<std::string> m_expired_keys; // to be deleted by the next transaction
 };
 } // namespace yardhill::ownership
--- a/Source/Core/Ownership/KnownTaskFinder.cpp
+++ b/Source/Core/Ownership/KnownTaskFinder.cpp
@@ -8,28 +8,28 @@
 
 namespace yardhill::ownership
 {
-void known_task_finder::ask(std::deque<pending_write> asked)
+void known_task_finder::enqueue(std::deque<pending_write> requests)
 {
-  for (pending_write& each : asked)
-    ask(std::move(each));
+  for (pending_write& each : requests)
+    enqueue(std::move(each));
 }
 
 void known_task_finder::clear()
 {
-  m_asked.clear();
+  m_queue.clear();
   m_known.reset();
 }
 
 store_read known_task_finder::first_read() const
 {
-  return {m_rows.ended_key(m_asked.front().write.task.spec.id), {}, 1};
+  return {m_rows.ended_key(m_queue.front().write.task.spec.id), {}, 1};
 }
 
 known_task_finder::outcome known_task_finder::row_read(const store_read_result& result,
                                                        std::vector<std::string>& malformed)
 {
-  const task_id& id = m_asked.front().write.task.spec.id;
-  // A read by prefix may return the row of a task whose id only begins alike.
+  const task_id& id = m_queue.front().write.task.spec.id;
+  // A read by prefix may return the row of another task whose id begins with this task's id.
   const auto same = std::ranges::find_if(
       result.rows, [&](const store_row& row)
       { return row.key == m_rows.ended_key(id) || row.key == m_rows.open_key(id); });
@@ -54,16 +54,17 @@
 
 known_task_finder::outcome known_task_finder::not_found()
 {
-  pending_write& asked = m_asked.front();
-  if (!asked.told_unclear)
+  pending_write& request = m_queue.front();
+  if (!request.unclear_reported)
   {
-    asked.told_unclear = true; // looked at the ended row; the open one is next
-    return store_read{m_rows.open_key(asked.write.task.spec.id), {}, 1};
+    // During a lookup this flag means that the ended row was read. The open row is read next.
+    request.unclear_reported = true;
+    return store_read{m_rows.open_key(request.write.task.spec.id), {}, 1};
   }
-  if (asked.write.change == record_change::find)
+  if (request.write.change == record_change::find)
     return answer(record_write_status::not_written, std::nullopt);
-  asked.told_unclear = false;
-  return accept_again{take_front()};
+  request.unclear_reported = false;
+  return retry_accept{take_front()};
 }
 
 record_write_result known_task_finder::object_read(const store_row& object)
@@ -73,16 +74,16 @@
   return answer(record_write_status::exists, std::exchange(m_known, std::nullopt));
 }
 
-std::vector<record_write_result> known_task_finder::give_up()
+std::vector<record_write_result> known_task_finder::fail_queries()
 {
   std::vector<record_write_result> results;
-  std::erase_if(m_asked,
+  std::erase_if(m_queue,
                 [&](const pending_write& entry)
                 {
-                  const bool over = entry.write.change == record_change::find;
-                  if (over)
+                  const bool is_query = entry.write.change == record_change::find;
+                  if (is_query)
                     results.push_back(result_of(entry, record_write_status::unclear));
-                  return over;
+                  return is_query;
                 });
   return results;
 }
@@ -97,8 +98,8 @@
 
 pending_write known_task_finder::take_front()
 {
-  pending_write front = std::move(m_asked.front());
-  m_asked.pop_front();
+  pending_write front = std::move(m_queue.front());
+  m_queue.pop_front();
   return front;
 }
 } // namespace yardhill::ownership
--- a/Source/Core/Ownership/KnownTaskFinder.h
+++ b/Source/Core/Ownership/KnownTaskFinder.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-// Looks up what the table holds of a task: for a caller who asks for it, and for an accept that met
-// a row of the same task. Reads the ended row, then the open one, then a result that stands apart
-// in the object store. One task at a time, the oldest first.
+// Looks up what the table holds of a task: for a caller's query, and for an accept that conflicted
+// because its task may have a row already. Reads the ended row, then the open row, then a result
+// that is stored apart in the object store. Looks up one task at a time, the oldest request first.
 
 #include <deque>
 #include <optional>
@@ -26,30 +26,32 @@
 public:
   explicit known_task_finder(partition_rows rows) : m_rows(std::move(rows)) {}
 
-  // The task was looked up, there is no row of it, and it was to be accepted: write it again.
-  struct accept_again
+  // The task of an accept was looked up and has no row: the accept has to be written again.
+  struct retry_accept
   {
     pending_write write;
   };
-  // What a row that was read leads to.
-  using outcome = std::variant<store_read, object_get, record_write_result, accept_again>;
+  // What follows from a read row: a read of the next row, a read of the result's object, the result
+  // of the lookup, or another attempt to write the accept.
+  using outcome = std::variant<store_read, object_get, record_write_result, retry_accept>;
 
-  void ask(pending_write asked) { m_asked.push_back(std::move(asked)); }
-  void ask(std::deque<pending_write> asked);
+  void enqueue(pending_write request) { m_queue.push_back(std::move(request)); }
+  void enqueue(std::deque<pending_write> requests);
   void clear();
 
-  bool idle() const { return m_asked.empty(); }
-  bool awaits_object() const { return m_known.has_value() && !m_asked.empty(); }
+  bool idle() const { return m_queue.empty(); }
+  bool awaits_object() const { return m_known.has_value() && !m_queue.empty(); }
 
-  // The read that begins the oldest question; answer with row_read.
+  // The first read for the oldest request; its result goes to row_read.
   store_read first_read() const;
-  // Adds the key of a row that cannot be read to `malformed`.
+  // Adds the key of a row that cannot be parsed to `malformed`.
   outcome row_read(const store_read_result& result, std::vector<std::string>& malformed);
-  // The result that an object_get asked for.
+  // Takes the object that an object_get requested. Returns the result of the lookup.
   record_write_result object_read(const store_row& object);
 
-  // The table does not answer: takes the callers' questions out; returns their results.
-  std::vector<record_write_result> give_up();
+  // Called when the table does not answer: removes the callers' queries from the queue and returns
+  // an unclear result for each.
+  std::vector<record_write_result> fail_queries();
 
 private:
   outcome found(const store_row& row, std::vector<std::string>& malformed);
@@ -58,7 +60,7 @@
   pending_write take_front();
 
   partition_rows m_rows;
-  std::deque<pending_write> m_asked;
-  std::optional<stored_task> m_known; // whose body is being read
+  std::deque<pending_write> m_queue;
+  std::optional<stored_task> m_known; // the task whose result body is being read
 };
 } // namespace yardhill::ownership
--- a/Source/Core/Ownership/OpenRows.cpp
+++ b/Source/Core/Ownership/OpenRows.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-constexpr std::uint32_t k_page = 500; // rows
+constexpr std::uint32_t k_rows_per_page = 500;
 } // namespace
 
 void open_rows::clear()
@@ -22,7 +22,7 @@
 
 store_read open_rows::next_page() const
 {
-  return {m_rows.open_prefix(), m_read_after, k_page};
+  return {m_rows.open_prefix(), m_read_after, k_rows_per_page};
 }
 
 std::optional<std::vector<stored_task>> open_rows::page_read(const store_read_result& page,
--- a/Source/Core/Ownership/OpenRows.h
+++ b/Source/Core/Ownership/OpenRows.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The open tasks that earlier owners of a partition left in the table, read page by page.
+// Reads the open tasks that earlier owners of a partition left in the table, page by page.
 
 #include <optional>
 #include <string>
@@ -23,15 +23,15 @@
 public:
   explicit open_rows(partition_rows rows) : m_rows(std::move(rows)) {}
 
-  // The rows have to be read: this instance has just become their owner.
+  // Requests that the rows are read, because this instance has just become their owner.
   void begin() { m_needs_load = true; }
   void clear();
 
   bool needs_load() const { return m_needs_load; }
-  // Answer with page_read.
+  // The read of the next page; its result goes to page_read.
   store_read next_page() const;
-  // Returns every task after the last page, else nothing. Adds the keys of rows that cannot be read
-  // to `malformed`.
+  // Returns the tasks of all pages once the last page is read, and nothing before. Adds the keys of
+  // rows that cannot be parsed to `malformed`.
   std::optional<std::vector<stored_task>> page_read(const store_read_result& page,
                                                     std::vector<std::string>& malformed);
 
--- a/Source/Core/Ownership/OwnerProbe.cpp
+++ b/Source/Core/Ownership/OwnerProbe.cpp
@@ -10,29 +10,29 @@
 {
 owner_probe::owner_probe(instance_id self) : m_self(std::move(self)) {}
 
-void owner_probe::answered(const worker_id& worker, const claim_answer& news)
+void owner_probe::record_reply(const worker_id& worker, const claim_answer& reply)
 {
-  m_said[worker] = {news.term, news.owner, news.owner_age};
+  m_reported_claims[worker] = {reply.term, reply.owner, reply.owner_age};
 }
 
 void owner_probe::keep_only(const std::vector<worker_id>& workers)
 {
-  std::erase_if(m_said, [&workers](const auto& entry)
+  std::erase_if(m_reported_claims, [&workers](const auto& entry)
                 { return std::ranges::find(workers, entry.first) == workers.end(); });
 }
 
-owner_probe::findings owner_probe::evaluate(term_number known_term, duration most_age) const
+owner_probe::findings owner_probe::evaluate(term_number known_term, duration max_claim_age) const
 {
   findings found;
-  found.highest = known_term;
-  for (const auto& [worker, claim] : m_said)
+  found.highest_term = known_term;
+  for (const auto& [worker, claim] : m_reported_claims)
   {
-    found.highest = std::max(found.highest, claim.term);
-    const bool another = claim.owner != m_self && claim.term >= known_term && claim.term > 0;
-    if (!another || claim.age > most_age)
+    found.highest_term = std::max(found.highest_term, claim.term);
+    const bool by_other_owner = claim.owner != m_self && claim.term >= known_term && claim.term > 0;
+    if (!by_other_owner || claim.age > max_claim_age)
       continue;
-    ++found.alive;
-    found.youngest = std::min(found.youngest, claim.age);
+    ++found.living_owner_claims;
+    found.youngest_claim_age = std::min(found.youngest_claim_age, claim.age);
   }
   return found;
 }
--- a/Source/Core/Ownership/OwnerProbe.h
+++ b/Source/Core/Ownership/OwnerProbe.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// What a partition's workers said of its silent owner when they were asked.
+// Evaluates what a partition's workers reply when they are asked about the partition's silent
+// owner.
 
 #include <cstddef>
 #include <map>
@@ -22,22 +23,23 @@
 public:
   explicit owner_probe(instance_id self);
 
-  // Forgets what was said, for another round or a new term.
-  void clear() { m_said.clear(); }
-  void answered(const worker_id& worker, const claim_answer& news);
-  // Forgets all but these workers.
+  // Discards all replies, before another round of probes or a new term.
+  void clear() { m_reported_claims.clear(); }
+  void record_reply(const worker_id& worker, const claim_answer& reply);
+  // Discards the replies of all workers but these.
   void keep_only(const std::vector<worker_id>& workers);
 
-  std::size_t answers() const { return m_said.size(); }
+  std::size_t reply_count() const { return m_reported_claims.size(); }
 
   struct findings
   {
-    std::size_t alive = 0; // workers that another owner, of the known term or above, claimed lately
-    duration youngest = duration::max(); // age of the latest such claim
-    term_number highest = 0;             // of all terms, the known one among them
+    // Workers that another owner, of the known term or above, claimed within the allowed age.
+    std::size_t living_owner_claims = 0;
+    duration youngest_claim_age = duration::max(); // of those claims
+    term_number highest_term = 0;                  // of the known term and all reported terms
   };
-  // Claims up to `most_age` old speak for a living owner.
-  findings evaluate(term_number known_term, duration most_age) const;
+  // A claim that is at most `max_claim_age` old shows that its owner is alive.
+  findings evaluate(term_number known_term, duration max_claim_age) const;
 
 private:
   struct owner_claim
@@ -48,6 +50,6 @@
   };
 
   instance_id m_self;
-  std::map<worker_id, owner_claim> m_said;
+  std::map<worker_id, owner_claim> m_reported_claims;
 };
 } // namespace yardhill::ownership
--- a/Source/Core/Ownership/PartitionOwnership.cpp
+++ b/Source/Core/Ownership/PartitionOwnership.cpp
@@ -16,16 +16,21 @@
 constexpr auto k_phase_names =
     std::to_array<std::string_view>({"following", "probing", "taking", "claiming", "owning"});
 
-// Candidates try one after the other, so that the second finds the first one's claims.
-constexpr duration k_rank_step = std::chrono::milliseconds{400};
-// Without word from a majority of workers a living owner is not pushed aside before this.
-constexpr duration k_minority_patience = std::chrono::seconds{10};
-constexpr duration k_first_look = std::chrono::milliseconds{300};
-// How long claims of a new term may take to reach a majority before the owner goes on without.
-constexpr duration k_claiming_time = std::chrono::seconds{3};
-constexpr duration k_taking_time = std::chrono::seconds{3};
-// How soon after its connections broke an owner is looked for.
-constexpr duration k_unlinked_look = std::chrono::milliseconds{200};
+// Candidates start probing one after the other by this interval per rank, so that the second
+// candidate finds the first one's claims at the workers.
+constexpr duration k_candidate_stagger = std::chrono::milliseconds{400};
+// While no majority of workers replies to probes, the owner may be alive. A candidate takes the
+// partition only when this much time has passed since the first such round of probes.
+constexpr duration k_minority_takeover_delay = std::chrono::seconds{10};
+// From the creation of the state machine to the first probe, for the candidate of rank 0.
+constexpr duration k_initial_probe_delay = std::chrono::milliseconds{300};
+// If the claims of a new term reach no majority of workers within this time, the instance becomes
+// owner without a majority if the table allotted the term, and steps down otherwise.
+constexpr duration k_claiming_timeout = std::chrono::seconds{3};
+// A table that has not answered a term request by then counts as unavailable.
+constexpr duration k_taking_timeout = std::chrono::seconds{3};
+// From the loss of the connections to the owner to the probe of the workers.
+constexpr duration k_unlinked_probe_delay = std::chrono::milliseconds{200};
 } // namespace
 
 std::string_view to_text(ownership_phase phase)
@@ -41,7 +46,7 @@
       m_metrics(counts),
       m_claims(std::move(partition), m_self, options),
       m_probe(m_self),
-      m_last_heard(now - options.owner_silence + k_first_look)
+      m_last_heard(now - options.owner_silence + k_initial_probe_delay)
 {
 }
 
@@ -49,12 +54,12 @@
 {
   std::vector<lost_worker> gone = m_claims.configure(workers, now);
   m_probe.keep_only(workers);
-  // What runs there ends with its leases.
+  // Whatever runs on the removed workers ends when its leases expire.
   if (owns())
     std::ranges::move(gone, std::back_inserter(m_output.lost_workers));
 }
 
-void partition_ownership::learn(const instance_id& owner, term_number term)
+void partition_ownership::update_known_term(const instance_id& owner, term_number term)
 {
   if (term <= m_known_term)
     return;
@@ -66,20 +71,20 @@
 {
   if (term < m_known_term || owner == m_self)
     return;
-  learn(owner, term);
+  update_known_term(owner, term);
   m_last_heard = now;
   if (m_phase == ownership_phase::probing)
     m_phase = ownership_phase::following;
-  const bool ours_is_over =
+  const bool superseded =
       term > m_term && (m_phase == ownership_phase::owning || m_phase == ownership_phase::claiming);
-  if (ours_is_over)
+  if (superseded)
     step_down(now);
 }
 
-void partition_ownership::term_seen(const instance_id& owner, term_number term)
+void partition_ownership::term_observed(const instance_id& owner, term_number term)
 {
   if (owner != m_self)
-    learn(owner, term);
+    update_known_term(owner, term);
 }
 
 void partition_ownership::handed_over(term_number term, time_point now)
@@ -88,7 +93,7 @@
   if (term < m_known_term || !m_candidate || busy)
     return;
   begin_taking(term + 1, now);
-  m_offered = true;
+  m_handover_offered = true;
 }
 
 void partition_ownership::begin_probing(time_point now)
@@ -106,33 +111,34 @@
 
 void partition_ownership::end_probing(time_point now)
 {
-  const owner_probe::findings found = m_probe.evaluate(m_known_term, claim_age_allowed());
+  const owner_probe::findings found = m_probe.evaluate(m_known_term, max_living_claim_age());
   m_phase = ownership_phase::following;
-  const bool owner_lives = m_claims.is_majority(found.alive);
-  const bool majority = m_claims.is_majority(m_probe.answers());
+  const bool owner_lives = m_claims.is_majority(found.living_owner_claims);
+  const bool majority = m_claims.is_majority(m_probe.reply_count());
   if (owner_lives || !m_candidate)
   {
-    // Look again when these claims have grown too old to speak for it.
-    const duration left = m_candidate ? claim_age_allowed() - found.youngest : silence_allowed();
-    m_last_heard = now - silence_allowed() + std::max(left, m_options.claim_retry);
-    m_first_silence = time_point{};
+    // Probe again when the youngest of these claims has become too old to show a living owner.
+    const duration left =
+        m_candidate ? max_living_claim_age() - found.youngest_claim_age : silence_timeout();
+    m_last_heard = now - silence_timeout() + std::max(left, m_options.claim_retry);
+    m_minority_since = time_point{};
     return;
   }
-  if (!majority && m_first_silence == time_point{})
-    m_first_silence = now;
-  if (!majority && now < m_first_silence + k_minority_patience)
+  if (!majority && m_minority_since == time_point{})
+    m_minority_since = now;
+  if (!majority && now < m_minority_since + k_minority_takeover_delay)
   {
     m_last_heard = now - m_options.owner_silence + m_options.claim_retry;
     return;
   }
-  begin_taking(found.highest + 1, now);
+  begin_taking(found.highest_term + 1, now);
 }
 
 void partition_ownership::begin_taking(term_number term, time_point now)
 {
   m_phase = ownership_phase::taking;
-  m_phase_ends = now + k_taking_time;
-  m_offered = false;
+  m_phase_ends = now + k_taking_timeout;
+  m_handover_offered = false;
   m_term = term;
   m_output.requested_term = term;
 }
@@ -142,14 +148,14 @@
   if (m_phase != ownership_phase::taking && m_phase != ownership_phase::owning)
     return;
   begin_claiming(term, now);
-  m_allotted = true;
+  m_term_from_table = true;
 }
 
 void partition_ownership::term_conflict(const instance_id& owner, term_number term, time_point now)
 {
-  learn(owner, term);
-  if (m_phase == ownership_phase::owning && m_contested == k_never)
-    m_contested = now;
+  update_known_term(owner, term);
+  if (m_phase == ownership_phase::owning && m_contested_since == k_never)
+    m_contested_since = now;
   if (m_phase != ownership_phase::taking)
     return;
   m_phase = ownership_phase::following;
@@ -160,8 +166,9 @@
 {
   if (m_phase != ownership_phase::taking)
     return;
-  // Without the table only a majority of workers can allot a term.
-  if (m_offered || m_claims.is_majority(m_probe.answers()))
+  // Without the table only a majority of workers can allot a term. After a handover by the owner
+  // the workers are claimed without a probe.
+  if (m_handover_offered || m_claims.is_majority(m_probe.reply_count()))
   {
     begin_claiming(m_term, now);
     return;
@@ -174,55 +181,57 @@
 {
   const bool was_owner = m_phase == ownership_phase::owning;
   m_term = term;
-  learn(m_self, term);
-  m_first_silence = time_point{};
-  m_contested = k_never;
-  m_foreign_until = now + m_options.longest_foreign_run();
+  update_known_term(m_self, term);
+  m_minority_since = time_point{};
+  m_contested_since = k_never;
+  m_other_owners_runs_end = now + m_options.longest_foreign_run();
   if (was_owner)
-    return; // a higher term for what is owned already: the next claims carry it
+    return; // already the owner: the next claims carry the higher term
   m_phase = ownership_phase::claiming;
-  m_allotted = false;
-  m_phase_ends = now + k_claiming_time;
-  m_waiting_reports.clear();
-  m_all_claimed_told = false;
+  m_term_from_table = false;
+  m_phase_ends = now + k_claiming_timeout;
+  m_pending_reports.clear();
+  m_all_claimed_reported = false;
   m_probe.clear();
   m_claims.begin_term();
   send(m_claims.due_claims(m_term, now));
 }
 
 void partition_ownership::claim_answered(const worker_id& worker, const claim_request& request,
-                                         const claim_answer& news, time_point sent_at,
+                                         const claim_answer& reply, time_point sent_at,
                                          time_point now)
 {
   if (!m_claims.call_ended(worker))
     return;
   if (request.term == 0)
-    m_probe.answered(worker, news);
-  const bool holds = m_phase == ownership_phase::claiming || m_phase == ownership_phase::owning;
-  if (!holds)
+    m_probe.record_reply(worker, reply);
+  const bool is_claimant =
+      m_phase == ownership_phase::claiming || m_phase == ownership_phase::owning;
+  if (!is_claimant)
   {
-    learn(news.owner, news.term);
+    update_known_term(reply.owner, reply.term);
     return;
   }
   if (request.term != m_term)
   {
-    // A probe or an earlier term's claim came back late.
-    m_output.claims.push_back(m_claims.claim_of(worker, m_term, now));
+    // This is a late reply to a probe or to a claim of an earlier term, so that the worker still
+    // has to be claimed at the present term.
+    m_output.claims.push_back(m_claims.immediate_claim(worker, m_term, now));
     return;
   }
-  if (!news.accepted)
+  if (!reply.accepted)
   {
-    claim_refused(news, now);
+    claim_refused(reply, now);
     return;
   }
-  m_claims.confirmed(worker, news, sent_at, now);
-  std::vector<worker_report>& reports = owns() ? m_output.reports : m_waiting_reports;
-  reports.push_back({worker, news, request.void_tickets});
+  m_claims.confirmed(worker, reply, sent_at, now);
+  std::vector<worker_report>& reports = owns() ? m_output.reports : m_pending_reports;
+  reports.push_back({worker, reply, request.void_tickets});
   if (m_phase == ownership_phase::claiming && has_majority(now))
     become_owner();
-  if (!m_all_claimed_told && claimed_workers() == m_claims.size() && owns())
+  if (!m_all_claimed_reported && claimed_workers() == m_claims.size() && owns())
   {
-    m_all_claimed_told = true;
+    m_all_claimed_reported = true;
     m_output.every_worker_claimed = true;
   }
 }
@@ -231,14 +240,14 @@
 {
   m_phase = ownership_phase::owning;
   m_output.became_owner = true;
-  m_output.reports = std::exchange(m_waiting_reports, {});
+  m_output.reports = std::exchange(m_pending_reports, {});
   m_metrics.add(counter::takeovers);
 }
 
-void partition_ownership::claim_refused(const claim_answer& news, time_point now)
+void partition_ownership::claim_refused(const claim_answer& reply, time_point now)
 {
-  learn(news.owner, news.term);
-  m_known_term = std::max(m_known_term, news.term);
+  update_known_term(reply.owner, reply.term);
+  m_known_term = std::max(m_known_term, reply.term);
   step_down(now);
 }
 
@@ -253,7 +262,7 @@
   m_metrics.add(retry_reason::claim_failed);
   if (!owns())
     return;
-  if (std::optional<lost_worker> lost = m_claims.lose(worker))
+  if (std::optional<lost_worker> lost = m_claims.mark_lost(worker))
     m_output.lost_workers.push_back(std::move(*lost));
 }
 
@@ -273,16 +282,17 @@
     m_metrics.add(counter::owner_lost);
   }
   m_phase = ownership_phase::following;
-  m_contested = k_never;
+  m_contested_since = k_never;
   m_last_heard = now;
   m_output.claims.clear();
   m_output.reports.clear();
-  m_waiting_reports.clear();
+  m_pending_reports.clear();
   m_output.became_owner = false;
 }
 
-// A living owner claims each worker again as soon as the worker has answered.
-duration partition_ownership::claim_age_allowed() const
+// The age up to which a claim shows a living owner. A living owner claims each worker again as soon
+// as the worker has replied, and the worker may hold its reply for claim_wait.
+duration partition_ownership::max_living_claim_age() const
 {
   return m_options.claim_wait + m_options.claim_wait / 2;
 }
@@ -290,12 +300,12 @@
 void partition_ownership::peer_unlinked(const instance_id& peer, time_point now)
 {
   if (peer == m_known_owner && m_phase == ownership_phase::following)
-    m_last_heard = std::min(m_last_heard, now - silence_allowed() + k_unlinked_look);
+    m_last_heard = std::min(m_last_heard, now - silence_timeout() + k_unlinked_probe_delay);
 }
 
-duration partition_ownership::silence_allowed() const
+duration partition_ownership::silence_timeout() const
 {
-  return m_options.owner_silence + k_rank_step * static_cast<duration::rep>(m_rank);
+  return m_options.owner_silence + k_candidate_stagger * static_cast<duration::rep>(m_rank);
 }
 
 void partition_ownership::advance(time_point now)
@@ -305,11 +315,11 @@
   switch (m_phase)
   {
   case ownership_phase::following:
-    if (m_candidate && now >= m_last_heard + silence_allowed())
+    if (m_candidate && now >= m_last_heard + silence_timeout())
       begin_probing(now);
     break;
   case ownership_phase::probing:
-    if (m_probe.answers() == m_claims.size() || now >= m_phase_ends)
+    if (m_probe.reply_count() == m_claims.size() || now >= m_phase_ends)
       end_probing(now);
     break;
   case ownership_phase::taking:
@@ -317,30 +327,32 @@
       term_unavailable(now);
     break;
   case ownership_phase::claiming:
-    // With the table's word alone, what only this owner knows can run on the workers held.
-    if (now >= m_phase_ends && m_allotted)
+    // A term allotted by the table suffices without a majority: tasks that only this owner knows
+    // can run on the workers that confirmed the term.
+    if (now >= m_phase_ends && m_term_from_table)
       become_owner();
     else if (now >= m_phase_ends)
       step_down(now);
     break;
   case ownership_phase::owning:
-    if (m_contested != k_never)
-      settle_contest(now);
+    if (m_contested_since != k_never)
+      resolve_contest(now);
     break;
   }
   if (m_phase == ownership_phase::claiming || m_phase == ownership_phase::owning)
     send(m_claims.due_claims(m_term, now));
 }
 
-// The table names another owner. Who still has a majority of the workers afterwards is the owner.
-void partition_ownership::settle_contest(time_point now)
+// Called while the table names another owner. The owner is the instance whose claims a majority of
+// the workers confirms after that was read.
+void partition_ownership::resolve_contest(time_point now)
 {
-  if (m_claims.is_majority(m_claims.confirmed_since(m_contested)))
+  if (m_claims.is_majority(m_claims.confirmed_since(m_contested_since)))
   {
-    m_contested = k_never;
+    m_contested_since = k_never;
     m_output.requested_term = m_known_term + 1;
   }
-  else if (now > m_contested + m_options.confirm_window)
+  else if (now > m_contested_since + m_options.confirm_window)
   {
     step_down(now);
   }
@@ -351,7 +363,7 @@
   switch (m_phase)
   {
   case ownership_phase::following:
-    return m_candidate ? m_last_heard + silence_allowed() : k_never;
+    return m_candidate ? m_last_heard + silence_timeout() : k_never;
   case ownership_phase::probing:
   case ownership_phase::taking:
     return m_phase_ends;
--- a/Source/Core/Ownership/PartitionRows.h
+++ b/Source/Core/Ownership/PartitionRows.h
@@ -18,7 +18,7 @@
 {
 using namespace common;
 
-// What the partition's own row says.
+// Contents of the partition's own row, stored as JSON.
 struct term_row
 {
   term_number term = 0;
@@ -31,29 +31,29 @@
 public:
   explicit partition_rows(partition_id partition) : m_partition(std::move(partition)) {}
 
-  // Keys of the partition's own row, of a task's row while it is open and once it has ended.
+  // Keys of the partition's own row, and of a task's row while the task is open and after its end.
   std::string own_key() const;
   std::string open_key(const task_id& task) const;
   std::string ended_key(const task_id& task) const;
-  // What the keys of all open, or of all ended, tasks start with.
+  // Common prefixes of the keys of all open tasks and of all ended tasks.
   std::string open_prefix() const;
   std::string ended_prefix() const;
   // Key in the object store of a result that is too large for its row.
   std::string result_key(const task_id& task) const;
 
   row_put own_row(const term_row& row) const;
-  // Adds the checks and rows of one task's change. A find writes nothing.
+  // Adds the checks and puts of one task's change to `transaction`. A find adds nothing.
   void add_change(store_transaction& transaction, const record_write& write) const;
 
 private:
   partition_id m_partition;
 };
 
-// The default row where there is none yet; nothing where the row is not one of ours: such a row is
-// never written over.
+// Returns a default row if there is none yet, and nothing if the row cannot be parsed: a row in a
+// foreign format is never overwritten.
 std::optional<term_row> parse_term_row(const store_read_result& result);
-// 0 where there is no row yet.
+// Returns 0 if there is no row yet.
 std::uint64_t term_row_version(const store_read_result& result);
-// Nothing where the row cannot be read.
+// Returns nothing if the row cannot be parsed.
 std::optional<stored_task> parse_task_row(const store_row& row);
 } // namespace yardhill::ownership
--- a/Source/Core/Ownership/PartitionTerm.cpp
+++ b/Source/Core/Ownership/PartitionTerm.cpp
@@ -13,18 +13,18 @@
 {
 }
 
-bool partition_term::give_up_wanted()
+bool partition_term::abandon_request()
 {
-  if (!m_wanted)
+  if (!m_requested_term)
     return false;
-  m_wanted.reset();
+  m_requested_term.reset();
   m_contested = false;
   return true;
 }
 
 void partition_term::begin(term_number term)
 {
-  // The row that was written for this very term is current; any other has to be caught up.
+  // The row is current only if it was written for this term; otherwise it has to be updated.
   m_row_current = m_row_current && m_writing_term == term;
   m_term = term;
 }
@@ -36,11 +36,11 @@
   m_contested = false;
 }
 
-partition_term::row_reading partition_term::row_read(const term_row& row, std::uint64_t version)
+partition_term::row_read_result partition_term::row_read(const term_row& row, std::uint64_t version)
 {
   m_row_version = version;
-  if (m_wanted)
-    return {write_row(std::max(*m_wanted, row.term + 1)), std::nullopt};
+  if (m_requested_term)
+    return {write_row(std::max(*m_requested_term, row.term + 1)), std::nullopt};
   if (!owned())
     return {};
   if (row.term == m_term && row.owner == m_self)
@@ -51,11 +51,11 @@
   }
   if (row.owner != m_self && row.term >= m_term)
   {
-    // Whose partition it is the workers have to say; until then nothing is written.
+    // The workers decide which instance owns the partition; nothing is written until then.
     m_contested = true;
     return {std::nullopt, row};
   }
-  // Catching the row up with a term that the workers allotted while the table was away.
+  // Update the row to a term that the workers allotted while the table was unavailable.
   return {write_row(std::max(m_term, row.term)), std::nullopt};
 }
 
@@ -64,19 +64,19 @@
   m_row_version = version;
   m_row_current = true;
   m_contested = false;
-  m_wanted.reset();
+  m_requested_term.reset();
   if (m_writing_term == m_term)
     return std::nullopt;
   return m_writing_term;
 }
 
-std::optional<term_row> partition_term::row_refused(const term_row& row)
+std::optional<term_row> partition_term::row_overwritten(const term_row& row)
 {
   m_row_current = false;
-  const bool somebody_else = row.owner != m_self && row.term >= m_writing_term;
-  if (!somebody_else || !m_wanted)
+  const bool held_by_other = row.owner != m_self && row.term >= m_writing_term;
+  if (!held_by_other || !m_requested_term)
     return std::nullopt;
-  m_wanted.reset();
+  m_requested_term.reset();
   return row;
 }
 
--- a/Source/Core/Ownership/StorePace.h
+++ b/Source/Core/Ownership/StoreCallPacer.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// When the next call to the table service may go out: with exponential backoff after failures.
+// Decides when the next call to the table service may be sent, with exponential backoff after
+// failures.
 
 #include <cstdint>
 
@@ -16,25 +17,26 @@
 {
 using namespace common;
 
-class store_pace
+class store_call_pacer
 {
 public:
-  store_pace(instance_id self, const ownership_options& options);
+  store_call_pacer(instance_id self, const ownership_options& options);
 
   void succeeded();
   void failed(store_status status, time_point now);
 
-  // The table service has not answered for a while.
+  // A call failed for a reason other than the service's rate limit, and no call has succeeded
+  // since.
   bool down() const { return m_down; }
   time_point not_before() const { return m_not_before; }
   void wait_until(time_point then) { m_not_before = then; }
-  // The next call does not wait.
+  // Lets the next call be sent at once.
   void skip_wait() { m_not_before = time_point{}; }
 
 private:
   instance_id m_self;
   const ownership_options& m_options;
-  std::uint32_t m_failures = 0; // in a row
+  std::uint32_t m_failures = 0; // consecutive
   bool m_down = false;
   time_point m_not_before{};
 };
--- a/Source/Core/Ownership/WorkerClaims.cpp
+++ b/Source/Core/Ownership/WorkerClaims.cpp
@@ -44,7 +44,7 @@
   {
     const bool outstanding = link.outstanding;
     link = worker_link{};
-    link.outstanding = outstanding; // a probe on its way; its answer lets the claim follow
+    link.outstanding = outstanding; // a call in flight; the claim follows when the call has ended
   }
 }
 
@@ -69,17 +69,18 @@
   for (auto& [worker, link] : m_links)
   {
     if (!link.outstanding && now >= link.next_claim)
-      claims.push_back(send_claim(worker, link, term, now));
+      claims.push_back(make_claim(worker, link, term, now));
   }
   return claims;
 }
 
-worker_claim worker_claims::claim_of(const worker_id& worker, term_number term, time_point now)
+worker_claim worker_claims::immediate_claim(const worker_id& worker, term_number term,
+                                            time_point now)
 {
-  return send_claim(worker, m_links.at(worker), term, now);
+  return make_claim(worker, m_links.at(worker), term, now);
 }
 
-worker_claim worker_claims::send_claim(const worker_id& worker, worker_link& link, term_number term,
+worker_claim worker_claims::make_claim(const worker_id& worker, worker_link& link, term_number term,
                                        time_point now)
 {
   link.outstanding = true;
@@ -88,10 +89,10 @@
   request.partition = m_partition;
   request.term = term;
   request.owner = m_self;
-  request.acknowledged = link.settled;
+  request.acknowledged = link.acknowledged_sequence;
   request.acknowledged_boot = link.boot;
   request.ticket = link.ticket;
-  request.void_tickets = std::exchange(link.void_next, false);
+  request.void_tickets = std::exchange(link.void_tickets_next, false);
   request.wait = link.claimed && !request.void_tickets ? m_options.claim_wait : duration{0};
   return {worker, request};
 }
@@ -105,16 +106,16 @@
   return true;
 }
 
-void worker_claims::confirmed(const worker_id& worker, const claim_answer& news, time_point sent_at,
-                              time_point now)
+void worker_claims::confirmed(const worker_id& worker, const claim_answer& reply,
+                              time_point sent_at, time_point now)
 {
   worker_link& link = m_links.at(worker);
   link.claimed = true;
   link.lost = false;
-  link.confirmed_sent = sent_at;
+  link.confirmed_sent_at = sent_at;
   link.answered_at = now;
-  link.boot = news.boot;
-  link.ticket = news.ticket;
+  link.boot = reply.boot;
+  link.ticket = reply.ticket;
   link.next_claim = now;
 }
 
@@ -122,11 +123,11 @@
 {
   worker_link& link = m_links.at(worker);
   link.next_claim = now + m_options.claim_retry;
-  // It may not have arrived, and the starts that it was to void are still unclear.
-  link.void_next = link.void_next || request.void_tickets;
+  // The claim may not have arrived, and the starts that it was to void are still unclear.
+  link.void_tickets_next = link.void_tickets_next || request.void_tickets;
 }
 
-std::optional<lost_worker> worker_claims::lose(const worker_id& worker)
+std::optional<lost_worker> worker_claims::mark_lost(const worker_id& worker)
 {
   worker_link& link = m_links.at(worker);
   if (link.lost || !link.claimed)
@@ -139,14 +140,14 @@
 {
   const auto found = m_links.find(worker);
   if (found != m_links.end())
-    found->second.void_next = true;
+    found->second.void_tickets_next = true;
 }
 
 void worker_claims::set_acknowledged(const worker_id& worker, std::uint64_t sequence)
 {
   const auto found = m_links.find(worker);
   if (found != m_links.end())
-    found->second.settled = sequence;
+    found->second.acknowledged_sequence = sequence;
 }
 
 std::size_t worker_claims::claimed() const
@@ -159,7 +160,7 @@
 {
   return static_cast<std::size_t>(std::ranges::count_if(
       m_links, [earliest](const auto& entry)
-      { return entry.second.claimed && entry.second.confirmed_sent >= earliest; }));
+      { return entry.second.claimed && entry.second.confirmed_sent_at >= earliest; }));
 }
 
 std::optional<start_permit> worker_claims::permit_for(const worker_id& worker, time_point now) const
--- a/Source/Core/Ownership/WriteQueue.cpp
+++ b/Source/Core/Ownership/WriteQueue.cpp
@@ -11,21 +11,21 @@
 {
 namespace
 {
-// A caller is not kept waiting for the table longer than this.
-constexpr duration k_write_patience = std::chrono::seconds{2};
+// The longest time that a caller waits for the table before its write is reported as failed.
+constexpr duration k_write_timeout = std::chrono::seconds{2};
 
-// A larger result goes to the object store; rows stay small enough to be read by the page.
-constexpr std::size_t k_most_row_body = 32U << 10U; // bytes
+// A larger result goes to the object store, so that rows stay small enough to be read in pages.
+constexpr std::size_t k_max_row_body_bytes = 32U << 10U;
 
-// Somebody waits for an acceptance or an intent; nobody does for an end.
+// A caller waits for the result of an accept or an intent; nobody waits for that of an end.
 bool is_awaited(const record_write& write)
 {
   return write.change == record_change::accept || write.change == record_change::intent;
 }
 
-bool has_waited_enough(const pending_write& entry, time_point now)
+bool wait_timed_out(const pending_write& entry, time_point now)
 {
-  return is_awaited(entry.write) && now >= entry.since + k_write_patience;
+  return is_awaited(entry.write) && now >= entry.queued_at + k_write_timeout;
 }
 } // namespace
 
@@ -41,7 +41,7 @@
   m_pending.push_back({write, now, false});
 }
 
-void write_queue::put_first(pending_write entry, time_point due)
+void write_queue::requeue_first(pending_write entry, time_point due)
 {
   m_pending.push_front(std::move(entry));
   m_due = due;
@@ -59,7 +59,7 @@
   for (pending_write& entry : m_batch)
   {
     stored_task& task = entry.write.task;
-    if (task.final_answer && task.final_answer->body.size() > k_most_row_body)
+    if (task.final_answer && task.final_answer->body.size() > k_max_row_body_bytes)
       return &task;
   }
   return nullptr;
@@ -89,7 +89,7 @@
   return results;
 }
 
-std::deque<pending_write> write_queue::dissolve_batch(time_point due)
+std::deque<pending_write> write_queue::requeue_batch_except_accepts(time_point due)
 {
   std::deque<pending_write> accepts;
   for (auto entry = m_batch.rbegin(); entry != m_batch.rend(); ++entry)
@@ -104,39 +104,39 @@
   return accepts;
 }
 
-std::vector<record_write_result> write_queue::give_up_batch(time_point now, time_point due)
+std::vector<record_write_result> write_queue::handle_batch_failure(time_point now, time_point due)
 {
   std::vector<record_write_result> results;
   if (!m_batch_maybe_written)
   {
-    put_batch_back(due);
+    requeue_batch(due);
     return results;
   }
   for (pending_write& entry : m_batch)
   {
-    if (entry.told_unclear || !has_waited_enough(entry, now))
+    if (entry.unclear_reported || !wait_timed_out(entry, now))
       continue;
-    entry.told_unclear = true;
+    entry.unclear_reported = true;
     results.push_back(result_of(entry, record_write_status::unclear));
   }
   return results;
 }
 
-std::vector<record_write_result> write_queue::give_up_waiting(time_point now)
+std::vector<record_write_result> write_queue::expire_waiting(time_point now)
 {
   std::vector<record_write_result> results;
   std::erase_if(m_pending,
                 [&](const pending_write& entry)
                 {
-                  const bool over = has_waited_enough(entry, now);
-                  if (over)
+                  const bool timed_out = wait_timed_out(entry, now);
+                  if (timed_out)
                     results.push_back(result_of(entry, record_write_status::not_written));
-                  return over;
+                  return timed_out;
                 });
   return results;
 }
 
-void write_queue::put_batch_back(time_point due)
+void write_queue::requeue_batch(time_point due)
 {
   for (auto entry = m_batch.rbegin(); entry != m_batch.rend(); ++entry)
     m_pending.push_front(std::move(*entry));
@@ -144,7 +144,7 @@
   m_due = due;
 }
 
-void write_queue::hurry(time_point due)
+void write_queue::expedite(time_point due)
 {
   if (!m_pending.empty())
     m_due = due;
--- a/Source/Core/Ownership/WriteQueue.h
+++ b/Source/Core/Ownership/WriteQueue.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-// Record writes on their way to the table: those that wait for a transaction, and the batch that
-// the present transaction holds. Says when the next transaction is due, and who has waited too
-// long.
+// Record writes that are not yet confirmed by the table: those that wait for a transaction, and the
+// batch in the current transaction. Determines when the next transaction is due and which writes
+// have timed out.
 
 #include <deque>
 #include <vector>
@@ -21,13 +21,13 @@
 struct pending_write
 {
   record_write write;
-  time_point since;
-  // Its caller was told that the write may have taken effect; while the task is looked up: its
-  // ended row was read, and the open one is next.
-  bool told_unclear = false;
+  time_point queued_at;
+  // The caller got an unclear result: the write may have taken effect. While a known_task_finder
+  // looks the task up, the flag means instead that the ended row was read and the open row is next.
+  bool unclear_reported = false;
 };
 
-// What a caller is told of a write without a row to show.
+// The result of a write without the stored task.
 record_write_result result_of(const pending_write& entry, record_write_status status);
 
 class write_queue
@@ -36,8 +36,8 @@
   explicit write_queue(const ownership_options& options) : m_options(options) {}
 
   void append(const record_write& write, time_point now);
-  // Back to the front of the line, due at `due`.
-  void put_first(pending_write entry, time_point due);
+  // Puts a write back at the front of the queue, due at `due`.
+  void requeue_first(pending_write entry, time_point due);
   void clear();
 
   bool idle() const { return m_pending.empty() && m_batch.empty(); }
@@ -47,33 +47,33 @@
   // The batch's first task whose result is too large for its row; null if there is none.
   stored_task* next_large_result();
 
-  // Moves the front of the line into the batch, which has to be empty.
+  // Moves writes from the front of the queue to the batch, which has to be empty.
   void fill_batch();
-  // The batch's transaction goes out; the next one waits until `next` at least.
+  // The batch's transaction is sent; the writes still queued are due at `next`.
   void batch_sent(time_point next);
-  // The transaction's answer was lost: it may have taken effect.
+  // The reply to the transaction was lost: the transaction may have taken effect.
   void batch_unclear() { m_batch_maybe_written = true; }
-  // The transaction took effect: the results of its records. The batch is empty then.
+  // The transaction took effect. Empties the batch and returns the results of its records.
   std::vector<record_write_result> batch_written();
-  // The transaction did not take effect because an accepted task's row stood against it. Returns
-  // the accepts; the others go back to the front of the line.
-  std::deque<pending_write> dissolve_batch(time_point due);
-
-  // The table does not answer. A batch that was certainly not written goes back to the front of the
-  // line, due at `due`; of one that may have been, returns unclear results for those who have
-  // waited long enough.
-  std::vector<record_write_result> give_up_batch(time_point now, time_point due);
-  // Takes writes whose callers have waited long enough out of the line; returns their results.
-  std::vector<record_write_result> give_up_waiting(time_point now);
-
-  // Everything that waits is due at `due`.
-  void hurry(time_point due);
+  // The transaction did not take effect because a task to be accepted has a row already. Empties
+  // the batch: returns the accepts and puts the other writes back at the front of the queue.
+  std::deque<pending_write> requeue_batch_except_accepts(time_point due);
+
+  // Called when the table does not answer. Puts a batch that was certainly not written back at the
+  // front of the queue, due at `due`. If the batch may have been written, returns unclear results
+  // for the writes whose callers have timed out.
+  std::vector<record_write_result> handle_batch_failure(time_point now, time_point due);
+  // Removes writes whose callers have timed out from the queue and returns their results.
+  std::vector<record_write_result> expire_waiting(time_point now);
+
+  // Makes all queued writes due at `due`.
+  void expedite(time_point due);
   bool due(time_point now) const { return has_batch() || now >= m_due; }
-  // When the waiting writes are due; k_never if there are none.
+  // When the queued writes are due; k_never if there are none.
   time_point next_due() const { return m_pending.empty() ? k_never : m_due; }
 
 private:
-  void put_batch_back(time_point due);
+  void requeue_batch(time_point due);
 
   const ownership_options& m_options;
   std::deque<pending_write> m_pending;
