--- a/Source/Core/Ownership/PartitionOwnership.cpp
+++ b/Source/Core/Ownership/PartitionOwnership.cpp
@@ -344,7 +344,7 @@
 }
 
 // Called while the table names another owner. The owner is the instance whose claims a majority of
-// the workers confirms after that was read.
+// the workers confirms after the table was first seen to do so.
 void partition_ownership::resolve_contest(time_point now)
 {
   if (m_claims.is_majority(m_claims.confirmed_since(m_contested_since)))
--- a/Source/Core/Ownership/WorkerClaims.h
+++ b/Source/Core/Ownership/WorkerClaims.h
@@ -48,7 +48,7 @@
   worker_claims(partition_id partition, instance_id self, const ownership_options& options);
 
   // Sets the partition's workers. Returns the claimed workers that were removed: they are not
-  // claimed any more.
+  // claimed any more. Workers that were lost already are left out.
   std::vector<lost_worker> configure(const std::vector<worker_id>& workers, time_point now);
   std::size_t size() const { return m_links.size(); }
   bool is_majority(std::size_t workers) const { return workers * 2 > m_links.size(); }
--- a/Source/UnitTests/Ownership/PartitionStoreTest.cpp
+++ b/Source/UnitTests/Ownership/PartitionStoreTest.cpp
@@ -21,7 +21,7 @@
   table_model table{{1e9, 1e9}};
   time_point now{std::chrono::seconds{1}};
 
-  partition_store make(const std::string& name)
+  partition_store make_store(const std::string& name)
   {
     return {{zone_id{"a"}, 0}, instance_id{name}, options, counts};
   }
@@ -88,9 +88,10 @@
     return write;
   }
 
-  partition_store owner(const std::string& name, term_number at_least)
+  // Returns a store that owns the partition at an allotted term of at least `at_least`.
+  partition_store make_owner(const std::string& name, term_number at_least)
   {
-    partition_store store = make(name);
+    partition_store store = make_store(name);
     store.request_term(at_least);
     const auto out = run_store(store);
     store.begin_term(out.allotted.value());
@@ -104,17 +105,17 @@
 
 BOOST_AUTO_TEST_CASE(terms_only_grow)
 {
-  partition_store first = make("a-1@1");
+  partition_store first = make_store("a-1@1");
   first.request_term(1);
   BOOST_TEST(run_store(first).allotted.value() == 1U);
-  partition_store second = make("a-2@1");
+  partition_store second = make_store("a-2@1");
   second.request_term(1);
   BOOST_TEST(run_store(second).allotted.value() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_term_whose_answer_was_lost_is_found_by_its_write_id)
 {
-  partition_store store = make("a-1@1");
+  partition_store store = make_store("a-1@1");
   store.request_term(1);
   BOOST_TEST(run_store(store, true).allotted.value() == 1U);
   BOOST_TEST(table.load().writes == 1U);
@@ -122,7 +123,7 @@
 
 BOOST_AUTO_TEST_CASE(a_write_whose_answer_was_lost_takes_effect_once)
 {
-  partition_store store = owner("a-1@1", 1);
+  partition_store store = make_owner("a-1@1", 1);
   const auto writes_before = table.load().writes;
   store.append(accept_of("w/k"), now);
   const auto out = run_store(store, true);
@@ -133,8 +134,8 @@
 
 BOOST_AUTO_TEST_CASE(a_stale_owner_writes_nothing)
 {
-  partition_store old = owner("a-1@1", 1);
-  owner("a-2@1", 2);
+  partition_store old = make_owner("a-1@1", 1);
+  make_owner("a-2@1", 2);
   const auto rows_before = table.load().rows;
   old.append(accept_of("w/k"), now);
   const auto out = run_store(old);
@@ -147,7 +148,7 @@
 
 BOOST_AUTO_TEST_CASE(a_stored_key_is_reported_and_others_are_written)
 {
-  partition_store store = owner("a-1@1", 1);
+  partition_store store = make_owner("a-1@1", 1);
   store.append(accept_of("w/k"), now);
   run_store(store);
   store.append(accept_of("w/k"), now);
@@ -161,11 +162,11 @@
 
 BOOST_AUTO_TEST_CASE(a_new_owner_reads_open_records_and_skips_malformed_ones)
 {
-  partition_store store = owner("a-1@1", 1);
+  partition_store store = make_owner("a-1@1", 1);
   store.append(accept_of("w/k"), now);
   run_store(store);
   table.write({{}, {{"task/a/0/open/w/broken", "{"}}}, now);
-  partition_store next = make("a-2@1");
+  partition_store next = make_store("a-2@1");
   next.request_term(2);
   next.begin_term(run_store(next).allotted.value());
   const auto out = run_store(next);
@@ -177,7 +178,7 @@
 BOOST_AUTO_TEST_CASE(ended_records_are_deleted_after_their_retention_also_by_a_later_owner)
 {
   options.ended_retention = std::chrono::hours{1};
-  partition_store store = owner("a-1@1", 1);
+  partition_store store = make_owner("a-1@1", 1);
   for (const char* id : {"w/first", "w/second"})
   {
     store.append(accept_of(id), now);
@@ -188,7 +189,7 @@
     store.append(end, now);
     run_store(store);
   }
-  partition_store next = owner("a-2@1", 2);
+  partition_store next = make_owner("a-2@1", 2);
   BOOST_TEST(table.rows().count("task/a/0/ended/w/first") == 1U);
   now += std::chrono::hours{2};
   next.append(accept_of("w/third"), now);
@@ -200,7 +201,7 @@
 
 BOOST_AUTO_TEST_CASE(a_large_result_goes_to_the_object_store_and_is_read_back_unchanged)
 {
-  partition_store store = owner("a-1@1", 1);
+  partition_store store = make_owner("a-1@1", 1);
   record_write end = accept_of("w/k");
   end.change = record_change::end;
   end.task.final_answer = answer{};
@@ -219,7 +220,7 @@
 
 BOOST_AUTO_TEST_CASE(an_ended_record_is_found_in_the_table)
 {
-  partition_store store = owner("a-1@1", 1);
+  partition_store store = make_owner("a-1@1", 1);
   record_write end = accept_of("w/k");
   end.change = record_change::end;
   end.task.final_answer = answer{};
@@ -240,7 +241,7 @@
 BOOST_AUTO_TEST_CASE(a_malformed_partition_row_is_never_overwritten)
 {
   table.write({{}, {{"partition/a/0", "not ours"}}}, now);
-  partition_store store = make("a-1@1");
+  partition_store store = make_store("a-1@1");
   store.request_term(1);
   BOOST_TEST(!run_store(store).allotted);
   BOOST_TEST(table.rows().at("partition/a/0").value == "not ours");
