--- a/Source/Core/Ownership/PartitionOwnership.cpp
+++ b/Source/Core/Ownership/PartitionOwnership.cpp
@@ -215,7 +215,7 @@
   if (request.term != m_term)
   {
     // This is a late reply to a probe or to a claim of an earlier term, so that the worker still
-    // has to be claimed at the present term.
+    // has to be claimed at the current term.
     m_output.claims.push_back(m_claims.immediate_claim(worker, m_term, now));
     return;
   }
--- a/Source/Core/Ownership/PartitionOwnership.h
+++ b/Source/Core/Ownership/PartitionOwnership.h
@@ -107,7 +107,7 @@
   // A majority of the workers confirmed the term within the confirm window.
   bool has_majority(time_point now) const;
   // The time until which tasks started by other owners may still run at workers that were not
-  // claimed at the present term.
+  // claimed at the current term.
   time_point other_owners_runs_end() const { return m_other_owners_runs_end; }
   // The ticket and boot for a start request, if this instance owns the partition, the worker has
   // confirmed the term and its ticket is still valid.
@@ -146,7 +146,7 @@
   bool m_candidate = true;
   bool m_all_claimed_reported = false;
   bool m_handover_offered = false;              // the previous owner handed the partition over
-  bool m_term_from_table = false;               // the table service allotted the present term
+  bool m_term_from_table = false;               // the table service allotted the current term
   std::vector<worker_report> m_pending_reports; // kept until a majority confirms the term
   ownership_output m_output;
 };
--- a/Source/Core/Ownership/PartitionStore.h
+++ b/Source/Core/Ownership/PartitionStore.h
@@ -46,7 +46,7 @@
   std::optional<store_call> call;      // its result goes to read_answered or write_answered
   std::optional<term_number> allotted; // the term that the table allotted
   std::optional<term_row> conflict;    // the partition's row, if it names another owner
-  bool unavailable = false;            // the table did not answer a term request
+  bool unavailable = false;            // a call failed while a term was requested
   std::vector<record_write_result> results;
   std::optional<std::vector<stored_task>> loaded; // all open tasks, after a takeover
   std::vector<std::string> malformed_rows;        // keys, for the log
@@ -65,7 +65,8 @@
   void begin_term(term_number term);
   void end_term();
   void append(const record_write& write, time_point now);
-  // Makes all waiting writes due now instead of at the end of their commit delay.
+  // Makes all waiting writes due as soon as the pacing of calls allows, instead of at the end of
+  // their commit delay.
   void flush();
 
   void read_answered(const store_read_result& result, time_point now);
--- a/Source/Core/Ownership/PartitionTerm.h
+++ b/Source/Core/Ownership/PartitionTerm.h
@@ -26,7 +26,7 @@
 
   // Requests a term of at least this number from the table.
   void request_at_least(term_number term) { m_requested_term = term; }
-  // Drops the term request because the table does not answer. Returns whether there was a request.
+  // Drops the term request because a call to the table failed. Returns whether there was a request.
   bool abandon_request();
   // Called when this instance owns the partition at `term`, whether or not the table allotted
   // `term`.
--- a/Source/Core/Ownership/WorkerClaims.h
+++ b/Source/Core/Ownership/WorkerClaims.h
@@ -4,7 +4,7 @@
 #pragma once
 
 // The state of a partition's claims at its workers: the one call that may be in flight to each
-// worker, which workers confirmed the present term and when, and the tickets for starts that they
+// worker, which workers confirmed the current term and when, and the tickets for starts that they
 // issued.
 
 #include <cstddef>
@@ -91,7 +91,7 @@
   struct worker_link
   {
     bool outstanding = false;
-    bool claimed = false; // at the present term
+    bool claimed = false; // at the current term
     bool lost = false;
     bool void_tickets_next = false;
     time_point next_claim{};
