--- a/Source/Core/Model/AdviceModel.cpp
+++ b/Source/Core/Model/AdviceModel.cpp
@@ -65,7 +65,7 @@
   }
   return {
       200,
-      json{{wire::k_good, std::move(good)}, {wire::k_valid_ms, m_settings.valid.count()}}.dump(),
+      json{{wire::k_permitted_workers, std::move(good)}, {wire::k_valid_ms, m_settings.valid.count()}}.dump(),
       {},
       false};
 }
--- a/Source/Core/Node/CallerGateway.cpp
+++ b/Source/Core/Node/CallerGateway.cpp
@@ -68,7 +68,7 @@
 
 std::chrono::milliseconds caller_gateway::timeout_of(const http::incoming_request& request) const
 {
-  const std::chrono::milliseconds caller_timeout = parse_timeout(request.noted_header);
+  const std::chrono::milliseconds caller_timeout = parse_timeout(request.captured_header);
   if (!m_stop_deadline)
     return caller_timeout;
   const auto left =
@@ -158,7 +158,7 @@
                        {"config_version", m_queues.version},
                        {"instance_age_ms", m_time.now() - m_started},
                        {"after_ms", m_time.now() - call.received}});
-  http::outgoing_answer answer;
+  http::outgoing_reply answer;
   answer.status = rejection.status;
   answer.body = adapter::error_body(rejection.detail);
   if (rejection.status == 503 || rejection.status == 504)
--- a/Source/Core/Node/PartitionLoader.cpp
+++ b/Source/Core/Node/PartitionLoader.cpp
@@ -76,7 +76,7 @@
 
 void partition_loader::on_page(range_reader& reader, const adapter::rows_result& result)
 {
-  if (result.end != adapter::store_end::done)
+  if (result.end != adapter::store_outcome::done)
   {
     common::log_process("partition_read_failed", {{"partition", m_partition},
                                                   {"table", reader.range.table},
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -58,7 +58,7 @@
   if (m_state == state::watching && !m_stopping && m_watch.is_unanswered_takeover(*observed))
   {
     adapter::transaction_result result;
-    result.end = adapter::store_end::done;
+    result.end = adapter::store_outcome::done;
     result.version = row.version;
     on_acquired(*observed, result);
   }
@@ -152,16 +152,16 @@
   if (written && written->life == row.life && written->epoch == row.epoch)
   {
     adapter::transaction_result done;
-    done.end = adapter::store_end::done;
+    done.end = adapter::store_outcome::done;
     done.version = present->version;
     on_acquired(row, done);
     return;
   }
-  if (result.end != adapter::store_end::done)
+  if (result.end != adapter::store_outcome::done)
   {
     m_state = state::watching;
     m_watch.delay_takeover(m_options.retry_pause);
-    if (result.end == adapter::store_end::unclear)
+    if (result.end == adapter::store_outcome::unclear)
       m_watch.takeover_unanswered(row);
     common::log_process("take_over_failed", {{"partition", m_partition},
                                              {"end", adapter::to_text(result.end)},
@@ -427,7 +427,7 @@
   m_last_pass = now;
   update_wall_clock(now);
   m_scheduler->set_advice_slots(m_dependencies.advice.slots(now));
-  m_scheduler->set_request_times(m_dependencies.workers.order_patience(),
+  m_scheduler->set_request_times(m_dependencies.workers.worker_request_timeout(),
                                  m_dependencies.workers.round_trip());
   m_scheduler->set_loop_lateness(m_dependencies.loop.latest());
   m_scheduler->tick(now);
--- a/Source/Core/Node/TableFeed.cpp
+++ b/Source/Core/Node/TableFeed.cpp
@@ -175,7 +175,7 @@
 
   void on_page(const adapter::rows_result& result)
   {
-    if (result.end != adapter::store_end::done)
+    if (result.end != adapter::store_outcome::done)
     {
       call_failed(result);
       retry();
@@ -217,7 +217,7 @@
 
   void wait_for_changes()
   {
-    adapter::expected_rows expected;
+    adapter::feed_options expected;
     expected.slack = std::min<common::duration>(m_store.patience(m_slack), k_max_slack);
     expected.coming = bytes_handler();
     if (m_handlers.newest_only)
@@ -229,7 +229,7 @@
 
   void on_changes(const adapter::rows_result& result)
   {
-    if (result.end == adapter::store_end::expired)
+    if (result.end == adapter::store_outcome::expired)
     {
       common::log_process("feed_history_gone", {{"table", m_table}, {"since", *m_known_version}});
       if (m_handlers.expired)
@@ -238,7 +238,7 @@
         start();
       return;
     }
-    if (result.end == adapter::store_end::too_long)
+    if (result.end == adapter::store_outcome::too_long)
     {
       common::log_process(
           "feed_reads_anew",
@@ -248,7 +248,7 @@
       start();
       return;
     }
-    if (result.end != adapter::store_end::done)
+    if (result.end != adapter::store_outcome::done)
     {
       call_failed(result);
       retry();
--- a/Source/Core/Scheduling/JobScheduler.cpp
+++ b/Source/Core/Scheduling/JobScheduler.cpp
@@ -62,7 +62,7 @@
 
 void job_scheduler::set_request_times(duration timeout, duration round_trip)
 {
-  m_state.order_patience = timeout;
+  m_state.worker_request_timeout = timeout;
   m_state.request_round_trip = round_trip;
 }
 
--- a/Source/Core/Scheduling/SchedulerState.cpp
+++ b/Source/Core/Scheduling/SchedulerState.cpp
@@ -50,10 +50,10 @@
 
 duration scheduler_state::request_retry(unsigned sends) const
 {
-  if (order_patience <= options.request_retry)
+  if (worker_request_timeout <= options.request_retry)
     return options.request_retry;
   const unsigned doublings = std::min(std::max(sends, 1U) - 1, options.max_retry_doublings);
-  return order_patience * (1U << doublings);
+  return worker_request_timeout * (1U << doublings);
 }
 
 worker_clock_time scheduler_state::extend_worker_lease(worker_record& worker, time_point now) const
@@ -71,7 +71,7 @@
     return run.start_expires;
   return std::min(run.start_expires,
                   run.worker->clock_at(now) + std::chrono::duration_cast<milliseconds>(
-                                                  options.start_validity_at(order_patience)));
+                                                  options.start_validity_at(worker_request_timeout)));
 }
 
 bool scheduler_state::usable(const worker_record& worker, time_point now) const
--- a/Source/Core/Scheduling/SchedulerState.h
+++ b/Source/Core/Scheduling/SchedulerState.h
@@ -61,7 +61,7 @@
   std::uint64_t lives = 0;        // counts the incarnations of all workers
   // For calls to workers at present: the time after which one is reported as unanswered, and the
   // time that answers take.
-  duration order_patience{};
+  duration worker_request_timeout{};
   duration request_round_trip{};
   bool place_again = true; // something has changed that may let a waiting task be placed
   // Start and stop requests in a row that no worker of the zone has answered.
--- a/Source/Core/Scheduling/WorkerHolder.cpp
+++ b/Source/Core/Scheduling/WorkerHolder.cpp
@@ -268,7 +268,7 @@
 {
   if (worker.incarnation_uncertain)
     return false;
-  const time_point recent = now - std::max(m_state.options.max_list_age, m_state.order_patience);
+  const time_point recent = now - std::max(m_state.options.max_list_age, m_state.worker_request_timeout);
   return worker.identified_at >= recent ||
          std::none_of(worker.runs.begin(), worker.runs.end(),
                       [recent](const auto& each)
@@ -316,7 +316,7 @@
   if (worker.over || worker.awaits_token || !(needs_lease || needs_claim))
     return duration{0};
   const duration round_trip =
-      hold_wait() + std::max(m_state.order_patience, m_state.options.hold_retry);
+      hold_wait() + std::max(m_state.worker_request_timeout, m_state.options.hold_retry);
   return std::max(duration{0}, now - worker.last_hold - round_trip);
 }
 
