--- a/Source/Core/Http/HttpClient.cpp
+++ b/Source/Core/Http/HttpClient.cpp
@@ -20,7 +20,7 @@
 #include <boost/beast/http/error.hpp>
 
 #include "Common/BootClock.h"
-#include "Http/AnswerParser.h"
+#include "Http/ReplyParser.h"
 #include "Http/RequestText.h"
 #include "Http/TimerQueue.h"
 
@@ -78,8 +78,8 @@
   // Of the call under way. Its pool stays for as long as it is busy.
   peer_pool* pool = nullptr;
   std::string outgoing;
-  std::optional<answer_parser> incoming;
-  std::optional<long_answer> expects;
+  std::optional<reply_parser> incoming;
+  std::optional<long_reply> expects;
   std::optional<timer_queue::entry> deadline;
   bool expired = false;
   reply_handler done;
@@ -261,7 +261,7 @@
 
   void on_read(const link_pointer& link, error_code failed)
   {
-    answer_parser& answer = *link->incoming;
+    reply_parser& answer = *link->incoming;
     std::size_t taken = 0;
     if (failed == asio::error::eof && answer.got_some())
       answer.put_eof(failed);
@@ -292,7 +292,7 @@
     if (!answer.is_done())
     {
       if (taken > 0 && link->expects)
-        expire_at(*link, clock::now() + link->expects->longest_pause);
+        expire_at(*link, clock::now() + link->expects->max_pause);
       read_some(link);
       return;
     }
--- a/Source/Core/Http/HttpListener.cpp
+++ b/Source/Core/Http/HttpListener.cpp
@@ -29,7 +29,7 @@
 struct listener_state
 {
   listener_limits limits;
-  std::string noted_header;
+  std::string captured_header;
   request_handler handle;
   std::size_t connections = 0;
   std::size_t in_flight = 0;
@@ -117,15 +117,15 @@
     request.verb = method_of(message.method());
     request.host = std::string(message[bhttp::field::host]);
     request.target = std::string(message.target());
-    request.noted_header = std::string(message[m_state->noted_header]);
+    request.captured_header = std::string(message[m_state->captured_header]);
     request.body = std::move(message.body());
     ++m_state->in_flight;
     m_counted = true;
-    m_state->handle(std::move(request), [self = shared_from_this()](outgoing_answer answer)
+    m_state->handle(std::move(request), [self = shared_from_this()](outgoing_reply answer)
                     { self->write(std::move(answer)); });
   }
 
-  void write(outgoing_answer answer)
+  void write(outgoing_reply answer)
   {
     if (m_counted)
       --m_state->in_flight;
@@ -166,13 +166,13 @@
 class http_listener::implementation : public std::enable_shared_from_this<implementation>
 {
 public:
-  implementation(asio::io_context& io, const common::endpoint& where, std::string noted_header,
+  implementation(asio::io_context& io, const common::endpoint& where, std::string captured_header,
                  request_handler handle)
       : m_acceptor(io, tcp::endpoint(asio::ip::make_address(where.address), where.port)),
         m_pause(io),
         m_state(std::make_shared<listener_state>())
   {
-    m_state->noted_header = std::move(noted_header);
+    m_state->captured_header = std::move(captured_header);
     m_state->handle = std::move(handle);
   }
 
@@ -221,9 +221,9 @@
 };
 
 http_listener::http_listener(asio::io_context& io, const common::endpoint& where,
-                             std::string noted_header, request_handler handle)
-    : m_implementation(
-          std::make_shared<implementation>(io, where, std::move(noted_header), std::move(handle)))
+                             std::string captured_header, request_handler handle)
+    : m_implementation(std::make_shared<implementation>(io, where, std::move(captured_header),
+                                                        std::move(handle)))
 {
   m_implementation->accept();
 }
@@ -238,7 +238,7 @@
   m_implementation->state().limits = limits;
 }
 
-void http_listener::close_after_answers()
+void http_listener::close_after_replies()
 {
   m_implementation->state().closing = true;
 }
--- a/Source/Core/Http/HttpListener.h
+++ b/Source/Core/Http/HttpListener.h
@@ -24,10 +24,10 @@
   std::string host;
   std::string target;
   std::string body;
-  std::string noted_header; // text of the one header that the listener looks for; empty if none
+  std::string captured_header; // text of the one header that the listener looks for; empty if none
 };
 
-struct outgoing_answer
+struct outgoing_reply
 {
   unsigned status = 200;
   std::string body;
@@ -36,16 +36,16 @@
   bool close = false; // the connection, once the answer is sent
 };
 
-using responder = std::function<void(outgoing_answer)>;
+using responder = std::function<void(outgoing_reply)>;
 using request_handler = std::function<void(incoming_request, responder)>;
 
 class http_listener
 {
 public:
-  // Throws boost::system::system_error when the address cannot be listened on. `noted_header`
+  // Throws boost::system::system_error when the address cannot be listened on. `captured_header`
   // is the name of the header that is handed on.
   http_listener(boost::asio::io_context& io, const common::endpoint& where,
-                std::string noted_header, request_handler handle);
+                std::string captured_header, request_handler handle);
   ~http_listener();
   http_listener(const http_listener&) = delete;
   http_listener& operator=(const http_listener&) = delete;
@@ -53,7 +53,7 @@
   // Holds for requests that begin from now on.
   void set_limits(const listener_limits& limits);
   // From now on each answer closes its connection.
-  void close_after_answers();
+  void close_after_replies();
   std::size_t requests_in_flight() const;
 
 private:
--- a/Source/Core/Http/HttpMessage.h
+++ b/Source/Core/Http/HttpMessage.h
@@ -33,11 +33,11 @@
 // needs longer is thrown away with all that has come of it, asked for anew and given up again,
 // without end. So the call's time-out holds until the answer begins, and from then on the call
 // lasts for as long as bytes keep coming.
-struct long_answer
+struct long_reply
 {
-  common::duration longest_pause{}; // between bytes
-  std::size_t most_bytes = 0;       // of the body; 0: as the client is set
-  std::function<void()> coming;     // called each time that bytes have come; may be empty
+  common::duration max_pause{}; // between bytes
+  std::size_t most_bytes = 0;   // of the body; 0: as the client is set
+  std::function<void()> coming; // called each time that bytes have come; may be empty
 };
 
 struct request
@@ -46,7 +46,7 @@
   std::string target; // path and query
   std::string body;
   header_list headers;
-  std::optional<long_answer> expects = std::nullopt; // none: the time-out covers the whole answer
+  std::optional<long_reply> expects = std::nullopt; // none: the time-out covers the whole answer
 };
 
 struct reply
--- a/Source/Core/Http/AnswerParser.h
+++ b/Source/Core/Http/ReplyParser.h
@@ -13,10 +13,10 @@
 
 namespace yardhill::http
 {
-class answer_parser : public boost::beast::http::basic_parser<false>
+class reply_parser : public boost::beast::http::basic_parser<false>
 {
 public:
-  explicit answer_parser(std::uint64_t most_body)
+  explicit reply_parser(std::uint64_t most_body)
   {
     eager(true);
     body_limit(most_body);
--- a/Source/Core/Model/CallerModel.cpp
+++ b/Source/Core/Model/CallerModel.cpp
@@ -243,7 +243,7 @@
       on_submitted(id, body, tries, status);
   };
   const bool sent = m_carry({http::method::post, k_host, m_prefixes[id] + id, body, k_patience_ms},
-                            [ended](const http::outgoing_answer& answer) { ended(answer.status); });
+                            [ended](const http::outgoing_reply& answer) { ended(answer.status); });
   if (!sent)
   {
     submit_again(id, body, tries);
@@ -274,7 +274,7 @@
   const auto answered = std::make_shared<bool>(false);
   m_judge.cancel_asked(id);
   m_carry({http::method::remove, k_host, m_prefixes[id] + id, "", k_patience_ms},
-          [this, id, answered](const http::outgoing_answer& answer)
+          [this, id, answered](const http::outgoing_reply& answer)
           {
             *answered = answer.status == 200 || answer.status == 410;
             if (answer.status == 200)
@@ -292,10 +292,10 @@
 {
   for (const auto& [id, prefix] : m_prefixes)
     m_carry({http::method::get, k_host, prefix + id, "", k_patience_ms},
-            [this, id = id](const http::outgoing_answer& answer) { on_state(id, answer); });
+            [this, id = id](const http::outgoing_reply& answer) { on_state(id, answer); });
 }
 
-void caller_model::on_state(const std::string& id, const http::outgoing_answer& answer)
+void caller_model::on_state(const std::string& id, const http::outgoing_reply& answer)
 {
   if (answer.status != 200)
     return;
--- a/Source/Core/Model/CallerModel.h
+++ b/Source/Core/Model/CallerModel.h
@@ -64,7 +64,7 @@
   void submit_again(const std::string& id, const std::string& body, unsigned tries);
   void submit_late(const std::string& id, const std::string& body);
   void cancel(const std::string& id, unsigned tries);
-  void on_state(const std::string& id, const http::outgoing_answer& answer);
+  void on_state(const std::string& id, const http::outgoing_reply& answer);
   std::uint64_t draw(std::uint64_t below) { return m_random() % below; }
   duration draw_time(std::chrono::milliseconds least, std::chrono::milliseconds most);
 
--- a/Source/Core/Model/CountJudge.cpp
+++ b/Source/Core/Model/CountJudge.cpp
@@ -51,7 +51,7 @@
       {
         which.core->handle(
             {http::method::get, k_host, prefix, "", k_patience_ms},
-            [this, &which, prefix, accepted_by, due](const http::outgoing_answer& answer)
+            [this, &which, prefix, accepted_by, due](const http::outgoing_reply& answer)
             {
               on_answer(which, prefix, m_cell.callers().waiting(prefix, accepted_by), answer);
               if (answer.status == 200 && m_contacts.in_touch(which))
@@ -61,7 +61,7 @@
 }
 
 void count_judge::on_answer(const explored_instance& which, const std::string& prefix,
-                            std::uint64_t waiting, const http::outgoing_answer& answer)
+                            std::uint64_t waiting, const http::outgoing_reply& answer)
 {
   // Something may have befallen it on the way of the question.
   if (!m_contacts.in_touch(which))
--- a/Source/Core/Model/CountJudge.h
+++ b/Source/Core/Model/CountJudge.h
@@ -32,7 +32,7 @@
   void ask_all();
   void ask(explored_instance& which, const std::string& prefix);
   void on_answer(const explored_instance& which, const std::string& prefix, std::uint64_t waiting,
-                 const http::outgoing_answer& answer);
+                 const http::outgoing_reply& answer);
   // Whoever serves does it by a configuration that is in force.
   void check_configuration(const explored_instance& which, std::uint64_t due);
   std::string now_text() const;
--- a/Source/Core/Model/ExploredCell.cpp
+++ b/Source/Core/Model/ExploredCell.cpp
@@ -52,9 +52,9 @@
   return json{{wire::k_version, version}, {wire::k_routes, std::move(routes)}}.dump();
 }
 
-http::outgoing_answer broken_connection()
+http::outgoing_reply broken_connection()
 {
-  http::outgoing_answer answer;
+  http::outgoing_reply answer;
   answer.status = 0;
   return answer;
 }
@@ -303,7 +303,7 @@
   const auto connection = std::make_shared<http::responder>(std::move(respond));
   std::erase_if(where->connections, [](const auto& each) { return !*each; });
   where->connections.push_back(connection);
-  const auto answer = [connection](const http::outgoing_answer& told)
+  const auto answer = [connection](const http::outgoing_reply& told)
   {
     if (*connection)
       std::exchange(*connection, nullptr)(told);
--- a/Source/Core/Model/StoreModel.cpp
+++ b/Source/Core/Model/StoreModel.cpp
@@ -277,7 +277,7 @@
       continue;
     json row = row_json(each.at, each.value, each.version);
     if (each.removed)
-      row[wire::k_gone] = true;
+      row[wire::k_row_removed] = true;
     rows.push_back(std::move(row));
   }
   return json{{wire::k_rows, std::move(rows)},
--- a/Source/Core/Model/VirtualNetwork.cpp
+++ b/Source/Core/Model/VirtualNetwork.cpp
@@ -53,9 +53,9 @@
                     if (what->expects && what->latest_bytes)
                     {
                       const duration pause = m_time.now() - *what->latest_bytes;
-                      if (pause < what->expects->longest_pause)
+                      if (pause < what->expects->max_pause)
                       {
-                        end_unanswered(what, what->expects->longest_pause - pause, unreachable);
+                        end_unanswered(what, what->expects->max_pause - pause, unreachable);
                         return;
                       }
                     }
--- a/Source/Core/Model/VirtualNetwork.h
+++ b/Source/Core/Model/VirtualNetwork.h
@@ -63,7 +63,7 @@
   struct exchange
   {
     http::reply_handler done; // empty once it has been called
-    std::optional<http::long_answer> expects;
+    std::optional<http::long_reply> expects;
     http::reply reply;                      // on its way, once there is one
     std::optional<time_point> latest_bytes; // of the reply
 
--- a/Source/Core/Node/CallerGateway.cpp
+++ b/Source/Core/Node/CallerGateway.cpp
@@ -67,7 +67,7 @@
 
 std::chrono::milliseconds caller_gateway::patience_of(const http::incoming_request& request) const
 {
-  const std::chrono::milliseconds callers = patience_from(request.noted_header);
+  const std::chrono::milliseconds callers = patience_from(request.captured_header);
   if (!m_end)
     return callers;
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(*m_end - m_time.now());
@@ -155,7 +155,7 @@
                        {"config_version", m_queues.version},
                        {"instance_age_ms", m_time.now() - m_started},
                        {"after_ms", m_time.now() - what.received}});
-  http::outgoing_answer answer;
+  http::outgoing_reply answer;
   answer.status = how.status;
   answer.body = adapter::error_body(how.detail);
   if (how.status == 503 || how.status == 504)
--- a/Source/Core/Node/CommitWriter.cpp
+++ b/Source/Core/Node/CommitWriter.cpp
@@ -94,12 +94,12 @@
 
 void commit_writer::on_answer(const adapter::transaction_result& result)
 {
-  if (result.end == adapter::store_end::done)
+  if (result.end == adapter::store_outcome::done)
   {
     done(result.version);
     return;
   }
-  if (result.end == adapter::store_end::conflict)
+  if (result.end == adapter::store_outcome::conflict)
   {
     on_conflict(result);
     return;
--- a/Source/Core/Node/JobStore.cpp
+++ b/Source/Core/Node/JobStore.cpp
@@ -75,13 +75,13 @@
   {
     switch (result.end)
     {
-    case adapter::store_end::done:
+    case adapter::store_outcome::done:
       m_done({accept_end::accepted, {}, true, result.version});
       return;
-    case adapter::store_end::conflict:
+    case adapter::store_outcome::conflict:
       on_conflict(result);
       return;
-    case adapter::store_end::unavailable:
+    case adapter::store_outcome::unavailable:
       write_later(result.detail);
       return;
     default:
@@ -155,12 +155,12 @@
 
   void on_settled(const adapter::transaction_result& result)
   {
-    if (result.end == adapter::store_end::done)
+    if (result.end == adapter::store_outcome::done)
     {
       m_done({accept_end::refused, m_detail, false, 0, row_evidence::marked});
       return;
     }
-    if (result.end != adapter::store_end::conflict)
+    if (result.end != adapter::store_outcome::conflict)
     {
       later(k_retry_pause, [this] { settle(); });
       return;
@@ -259,7 +259,7 @@
 
 adapter::row_version job_store::version_so_far() const
 {
-  return std::max(m_store.newest_seen(), m_feed_store.newest_seen());
+  return std::max(m_store.newest_row_version(), m_feed_store.newest_row_version());
 }
 
 void job_store::accept(const jobs::accepted_job& job, adapter::row_version known,
@@ -284,7 +284,7 @@
                [done = std::move(done)](const adapter::rows_result& result)
                {
                  found_job found;
-                 found.answered = result.end == adapter::store_end::done;
+                 found.answered = result.end == adapter::store_outcome::done;
                  for (const adapter::row& each : result.rows)
                  {
                    auto row = job_row_from(each);
@@ -308,7 +308,7 @@
   change.puts.push_back({cancel_key(id), "cancel"});
   m_store.transact(change, timeout,
                    [done = std::move(done)](const adapter::transaction_result& result)
-                   { done(result.end == adapter::store_end::done); });
+                   { done(result.end == adapter::store_outcome::done); });
 }
 
 void job_store::state(const std::string& partition, const std::string& id, common::duration timeout,
@@ -318,7 +318,7 @@
                [done = std::move(done), id](const adapter::rows_result& result)
                {
                  written_state written;
-                 written.answered = result.end == adapter::store_end::done;
+                 written.answered = result.end == adapter::store_outcome::done;
                  if (written.answered && !result.rows.empty())
                  {
                    const auto progress = common::parsed_or_none(
--- a/Source/Core/Node/LayoutKeeper.cpp
+++ b/Source/Core/Node/LayoutKeeper.cpp
@@ -121,7 +121,7 @@
   m_writing = false;
   if (m_layout)
     return;
-  if (result.end == adapter::store_end::done)
+  if (result.end == adapter::store_outcome::done)
   {
     set(partitions, "decided here");
     return;
--- a/Source/Core/Node/NodeService.cpp
+++ b/Source/Core/Node/NodeService.cpp
@@ -120,7 +120,7 @@
     return;
   m_stopping_since = m_time.now();
   common::log_process("stopping", {{"in_flight", m_callers->requests_in_flight()}});
-  m_callers->close_after_answers();
+  m_callers->close_after_replies();
   m_core.begin_stop(m_settings.stop_grace - k_stop_reserve);
 }
 
--- a/Source/Core/Node/PartitionLoader.cpp
+++ b/Source/Core/Node/PartitionLoader.cpp
@@ -76,7 +76,7 @@
 
 void partition_loader::on_page(reading& which, const adapter::rows_result& result)
 {
-  if (result.end != adapter::store_end::done)
+  if (result.end != adapter::store_outcome::done)
   {
     common::log_process("partition_read_failed", {{"partition", m_partition},
                                                   {"table", which.range.table},
--- a/Source/Core/Node/PartitionOwner.cpp
+++ b/Source/Core/Node/PartitionOwner.cpp
@@ -57,7 +57,7 @@
   if (m_state == state::watching && !m_stopping && m_watch.is_unclear_takeover(*seen))
   {
     adapter::transaction_result result;
-    result.end = adapter::store_end::done;
+    result.end = adapter::store_outcome::done;
     result.version = row.version;
     on_acquired(*seen, result);
   }
@@ -145,16 +145,16 @@
   if (written && written->life == row.life && written->epoch == row.epoch)
   {
     adapter::transaction_result done;
-    done.end = adapter::store_end::done;
+    done.end = adapter::store_outcome::done;
     done.version = present->version;
     on_acquired(row, done);
     return;
   }
-  if (result.end != adapter::store_end::done)
+  if (result.end != adapter::store_outcome::done)
   {
     m_state = state::watching;
     m_watch.pause(m_options.retry_pause);
-    if (result.end == adapter::store_end::unclear)
+    if (result.end == adapter::store_outcome::unclear)
       m_watch.takeover_unclear(row);
     common::log_process("take_over_failed", {{"partition", m_partition},
                                              {"end", adapter::to_text(result.end)},
@@ -415,7 +415,8 @@
   m_last_step = now;
   tell_time(now);
   m_scheduler->set_advice_slots(m_parts.advice.slots(now));
-  m_scheduler->set_order_times(m_parts.workers.order_patience(), m_parts.workers.round_trip());
+  m_scheduler->set_order_times(m_parts.workers.worker_request_timeout(),
+                               m_parts.workers.round_trip());
   m_scheduler->set_loop_lateness(m_parts.loop.latest());
   m_scheduler->tick(now);
   for (const scheduling::command& each : m_scheduler->take_commands())
--- a/Source/Core/Node/PeerLinks.cpp
+++ b/Source/Core/Node/PeerLinks.cpp
@@ -64,7 +64,7 @@
   m_store.transact(change, k_write_timeout,
                    [this](const adapter::transaction_result& result)
                    {
-                     if (result.end == adapter::store_end::done)
+                     if (result.end == adapter::store_outcome::done)
                        return;
                      m_timer.start(k_retry, [this] { announce(); });
                    });
--- a/Source/Core/Node/RowSweeper.cpp
+++ b/Source/Core/Node/RowSweeper.cpp
@@ -86,7 +86,7 @@
                    {
                      if (alive.expired())
                        return;
-                     if (result.end == adapter::store_end::done)
+                     if (result.end == adapter::store_outcome::done)
                      {
                        (this->*next)(ids);
                        return;
--- a/Source/Core/Node/TableFeed.cpp
+++ b/Source/Core/Node/TableFeed.cpp
@@ -167,7 +167,7 @@
 
   void on_page(const adapter::rows_result& result)
   {
-    if (result.end != adapter::store_end::done)
+    if (result.end != adapter::store_outcome::done)
     {
       failed(result);
       retry();
@@ -209,7 +209,7 @@
 
   void wait_for_changes()
   {
-    adapter::expected_rows expected;
+    adapter::feed_options expected;
     expected.slack = std::min<common::duration>(m_store.patience(m_slack), k_most_slack);
     expected.coming = coming();
     if (m_handlers.newest_only)
@@ -220,7 +220,7 @@
 
   void on_changes(const adapter::rows_result& result)
   {
-    if (result.end == adapter::store_end::expired)
+    if (result.end == adapter::store_outcome::expired)
     {
       common::log_process("feed_history_gone", {{"table", m_table}, {"since", *m_since}});
       if (m_handlers.expired)
@@ -229,7 +229,7 @@
         start();
       return;
     }
-    if (result.end == adapter::store_end::too_long)
+    if (result.end == adapter::store_outcome::too_long)
     {
       common::log_process(
           "feed_reads_anew",
@@ -239,7 +239,7 @@
       start();
       return;
     }
-    if (result.end != adapter::store_end::done)
+    if (result.end != adapter::store_outcome::done)
     {
       failed(result);
       retry();
--- a/Source/Core/Scheduling/CrashWatch.cpp
+++ b/Source/Core/Scheduling/CrashWatch.cpp
@@ -425,7 +425,8 @@
 
 bool crash_watch::heard_lately(const worker_record& worker, time_point now) const
 {
-  return now - worker.heard_at <= std::max(m_state.options.fresh_lists, m_state.order_patience);
+  return now - worker.heard_at <=
+         std::max(m_state.options.fresh_lists, m_state.worker_request_timeout);
 }
 
 duration crash_watch::patience(const task_record& task) const
--- a/Source/Core/Scheduling/JobScheduler.cpp
+++ b/Source/Core/Scheduling/JobScheduler.cpp
@@ -62,7 +62,7 @@
 
 void job_scheduler::set_order_times(duration patience, duration round_trip)
 {
-  m_state.order_patience = patience;
+  m_state.worker_request_timeout = patience;
   m_state.order_round_trip = round_trip;
 }
 
--- a/Source/Core/Scheduling/SchedulerState.cpp
+++ b/Source/Core/Scheduling/SchedulerState.cpp
@@ -50,10 +50,10 @@
 
 duration scheduler_state::order_retry(unsigned sends) const
 {
-  if (order_patience <= options.order_retry)
+  if (worker_request_timeout <= options.order_retry)
     return options.order_retry;
   const unsigned doublings = std::min(std::max(sends, 1U) - 1, options.most_retry_doublings);
-  return order_patience * (1U << doublings);
+  return worker_request_timeout * (1U << doublings);
 }
 
 worker_clock_time scheduler_state::extended_lease(worker_record& worker, time_point now) const
@@ -70,7 +70,7 @@
     return run.start_expires;
   return std::min(run.start_expires,
                   run.worker->clock_at(now) + std::chrono::duration_cast<milliseconds>(
-                                                  options.start_life_at(order_patience)));
+                                                  options.start_life_at(worker_request_timeout)));
 }
 
 bool scheduler_state::usable(const worker_record& worker, time_point now) const
--- a/Source/Core/Scheduling/SchedulerState.h
+++ b/Source/Core/Scheduling/SchedulerState.h
@@ -58,7 +58,7 @@
   std::uint64_t lives = 0;          // of workers, counted
   // Of orders at present: how long one is under way before it is told as unanswered, and how long
   // answers take.
-  duration order_patience{};
+  duration worker_request_timeout{};
   duration order_round_trip{};
   bool place_again = true;
   // Orders in a row that no worker of the zone has answered.
--- a/Source/Core/Scheduling/WorkerHolder.cpp
+++ b/Source/Core/Scheduling/WorkerHolder.cpp
@@ -258,7 +258,8 @@
 {
   if (worker.life_doubted)
     return false;
-  const time_point recent = now - std::max(m_state.options.fresh_lists, m_state.order_patience);
+  const time_point recent =
+      now - std::max(m_state.options.fresh_lists, m_state.worker_request_timeout);
   return worker.told_at >= recent ||
          std::none_of(worker.runs.begin(), worker.runs.end(),
                       [recent](const auto& each)
@@ -303,7 +304,8 @@
   const bool asked = !worker.claimed && worker.taken_over;
   if (worker.over || worker.token_wanted || !(extended || asked))
     return duration{0};
-  const duration takes = hold_wait() + std::max(m_state.order_patience, m_state.options.hold_retry);
+  const duration takes =
+      hold_wait() + std::max(m_state.worker_request_timeout, m_state.options.hold_retry);
   return std::max(duration{0}, now - worker.last_hold - takes);
 }
 
--- a/Source/StandIns/CellStandIn.cpp
+++ b/Source/StandIns/CellStandIn.cpp
@@ -29,7 +29,7 @@
 namespace
 {
 using http::incoming_request;
-using http::outgoing_answer;
+using http::outgoing_reply;
 using http::responder;
 using nlohmann::json;
 using std::chrono::milliseconds;
@@ -57,8 +57,8 @@
   call.verb = request.verb;
   call.target = request.target;
   call.body = request.body;
-  if (!request.noted_header.empty())
-    call.headers.emplace_back(wire::k_expected_instance, request.noted_header);
+  if (!request.captured_header.empty())
+    call.headers.emplace_back(wire::k_expected_instance, request.captured_header);
   return call;
 }
 
@@ -139,8 +139,8 @@
   }
 
 private:
-  using admin_call = outgoing_answer (implementation::*)(const std::vector<std::string>& words,
-                                                         const std::string& body);
+  using admin_call = outgoing_reply (implementation::*)(const std::vector<std::string>& words,
+                                                        const std::string& body);
 
   common::endpoint address_of(std::uint32_t port) const
   {
@@ -256,7 +256,7 @@
     return m_calls_per_second != 0 && m_calls_of_second > m_calls_per_second;
   }
 
-  outgoing_answer administer(const incoming_request& request)
+  outgoing_reply administer(const incoming_request& request)
   {
     static const std::map<std::string, admin_call> k_calls{
         {"configuration", &implementation::put_configuration},
@@ -279,13 +279,13 @@
     }
   }
 
-  outgoing_answer put_configuration(const std::vector<std::string>&, const std::string& body)
+  outgoing_reply put_configuration(const std::vector<std::string>&, const std::string& body)
   {
     m_store.put({wire::k_operator_table, "", wire::k_config_key}, body);
     return {};
   }
 
-  outgoing_answer note_job(const std::vector<std::string>& words, const std::string& body)
+  outgoing_reply note_job(const std::vector<std::string>& words, const std::string& body)
   {
     const std::string& id = words.at(1);
     const std::string what = words.size() > 2 ? words[2] : "";
@@ -312,7 +312,7 @@
     return {};
   }
 
-  outgoing_answer set_store_fault(const std::vector<std::string>& words, const std::string&)
+  outgoing_reply set_store_fault(const std::vector<std::string>& words, const std::string&)
   {
     const std::string& what = words.at(1);
     if (what == "slow")
@@ -328,7 +328,7 @@
     return {};
   }
 
-  outgoing_answer set_answers_of_store(const std::string& fault)
+  outgoing_reply set_answers_of_store(const std::string& fault)
   {
     static constexpr std::array<const char*, 4> k_faults{"works", "unavailable", "silent",
                                                          "loses_answers"};
@@ -338,7 +338,7 @@
     return {};
   }
 
-  outgoing_answer befall_worker(const std::vector<std::string>& words, const std::string&)
+  outgoing_reply befall_worker(const std::vector<std::string>& words, const std::string&)
   {
     model::fleet_worker& worker = m_fleet.workers().at(std::stoul(words.at(1)));
     const std::string& what = words.at(2);
@@ -399,7 +399,7 @@
     m_judge.worker_leaving(worker.settings.life, m_time.now());
   }
 
-  outgoing_answer report(const std::vector<std::string>&, const std::string&)
+  outgoing_reply report(const std::vector<std::string>&, const std::string&)
   {
     const json out{{"starts", m_judge.starts()},         {"accepted", m_judge.accepted_jobs()},
                    {"violations", m_judge.violations()}, {"runs", m_judge.active_runs()},
@@ -407,7 +407,7 @@
     return {200, out.dump(), "application/json", {}};
   }
 
-  outgoing_answer runs(const std::vector<std::string>&, const std::string&)
+  outgoing_reply runs(const std::vector<std::string>&, const std::string&)
   {
     json tasks = json::array();
     for (const model::task_ref& each : m_judge.active_tasks())
--- a/Source/UnitTests/Http/HttpClientTest.cpp
+++ b/Source/UnitTests/Http/HttpClientTest.cpp
@@ -98,7 +98,7 @@
 
   // The answer to one call.
   http::reply answer(std::vector<std::string> pieces, milliseconds pause, milliseconds timeout,
-                     std::optional<http::long_answer> expects)
+                     std::optional<http::long_reply> expects)
   {
     slow_server server(io, std::move(pieces), pause);
     std::optional<http::reply> got;
@@ -124,7 +124,7 @@
 {
   unsigned times = 0;
   const http::reply reply = answer(k_pieces, milliseconds{500}, seconds{2},
-                                   http::long_answer{seconds{20}, 0, [&times] { ++times; }});
+                                   http::long_reply{seconds{20}, 0, [&times] { ++times; }});
   BOOST_TEST(reply.status == 200U);
   BOOST_TEST(reply.body.size() == 40U);
   BOOST_TEST(times >= 2U);
@@ -139,7 +139,7 @@
 BOOST_FIXTURE_TEST_CASE(an_answer_that_stops_coming_is_given_up, client_under_test)
 {
   const http::reply reply = answer({head(40), std::string(10, 'a')}, milliseconds{50}, seconds{20},
-                                   http::long_answer{milliseconds{500}, 0, {}});
+                                   http::long_reply{milliseconds{500}, 0, {}});
   BOOST_TEST(!reply.answered());
   BOOST_TEST(reply.failure.find("10 of 40 bytes") != std::string::npos, reply.failure);
 }
@@ -147,14 +147,14 @@
 BOOST_FIXTURE_TEST_CASE(an_answer_that_does_not_begin_is_given_up, client_under_test)
 {
   const http::reply reply =
-      answer({}, milliseconds{0}, milliseconds{500}, http::long_answer{seconds{20}, 0, {}});
+      answer({}, milliseconds{0}, milliseconds{500}, http::long_reply{seconds{20}, 0, {}});
   BOOST_TEST(!reply.answered());
 }
 
 BOOST_FIXTURE_TEST_CASE(an_answer_with_too_many_bytes_ends_at_its_head, client_under_test)
 {
   const http::reply reply =
-      answer({head(2000)}, milliseconds{0}, seconds{20}, http::long_answer{seconds{20}, 1000, {}});
+      answer({head(2000)}, milliseconds{0}, seconds{20}, http::long_reply{seconds{20}, 1000, {}});
   BOOST_TEST(reply.status == 200U);
   BOOST_TEST(reply.too_long);
   BOOST_TEST(reply.body.empty());
--- a/Source/UnitTests/Model/NarrowConfigurationTest.cpp
+++ b/Source/UnitTests/Model/NarrowConfigurationTest.cpp
@@ -63,7 +63,7 @@
   {
     const auto status = std::make_shared<unsigned>(0);
     which.core->handle({verb, k_host, prefix, "{}", "3000"},
-                       [status](const http::outgoing_answer& answer) { *status = answer.status; });
+                       [status](const http::outgoing_reply& answer) { *status = answer.status; });
     pass(milliseconds{5});
     return *status;
   }
--- a/Source/UnitTests/Model/PartitionsTest.cpp
+++ b/Source/UnitTests/Model/PartitionsTest.cpp
@@ -102,10 +102,10 @@
   const std::string id = cell.callers().hand_in(spec);
   run_for(seconds{1});
   BOOST_TEST(cell.judge().active_runs() > 6U);
-  std::optional<http::outgoing_answer> got;
+  std::optional<http::outgoing_reply> got;
   cell.instances()[0].core->handle(
       {http::method::remove, model::k_host, model::k_plain_prefix + id, {}, "3000"},
-      [&got](const http::outgoing_answer& answer) { got = answer; });
+      [&got](const http::outgoing_reply& answer) { got = answer; });
   run_for(seconds{2});
   BOOST_TEST_REQUIRE(got.has_value());
   BOOST_TEST(got->status == 200U);
--- a/Source/UnitTests/Model/PendingCountsTest.cpp
+++ b/Source/UnitTests/Model/PendingCountsTest.cpp
@@ -92,14 +92,14 @@
         [&which, shown]
         {
           which.core->handle({http::method::get, model::k_host, model::k_plain_prefix, "", "3000"},
-                             [shown](const http::outgoing_answer& answer)
+                             [shown](const http::outgoing_reply& answer)
                              { take_in(*shown, answer); });
         });
     run_for(milliseconds{5});
     return *shown;
   }
 
-  static void take_in(shown_count& shown, const http::outgoing_answer& answer)
+  static void take_in(shown_count& shown, const http::outgoing_reply& answer)
   {
     shown.status = answer.status;
     if (answer.status == 200)
--- a/Source/UnitTests/Model/RouteLifetimeTest.cpp
+++ b/Source/UnitTests/Model/RouteLifetimeTest.cpp
@@ -32,7 +32,7 @@
   cell.instances().front().core->handle(
       {http::method::post, k_host, std::string(k_plain_prefix) + "0123456789abcdef",
        R"({"spec":"text","phases":[{"count":1,"cpu":100,"mem_mb":10,"estimate_ms":100}]})", "3000"},
-      [&status](const http::outgoing_answer& answer) { status = answer.status; });
+      [&status](const http::outgoing_reply& answer) { status = answer.status; });
   pass(milliseconds{100});
   BOOST_TEST(status == 0U);
   cell.configure(3);
--- a/Source/UnitTests/Node/AdmissionTest.cpp
+++ b/Source/UnitTests/Node/AdmissionTest.cpp
@@ -74,7 +74,7 @@
   node::layout_keeper keeper{time, store, 0};
   node::state_desk states{time, [](const std::string&, const common::peer_message&) {}, partitions};
   std::optional<node::caller_gateway> gateway;
-  std::optional<http::outgoing_answer> got;
+  std::optional<http::outgoing_reply> got;
 
   gateway_under_test()
   {
@@ -99,7 +99,7 @@
     got.reset();
     gateway->handle({http::method::post, "host", "/" + queue + "/" + k_id,
                      adapter::submission_body(spec_of(seconds{1})), "3000"},
-                    [this](const http::outgoing_answer& answer) { got = answer; });
+                    [this](const http::outgoing_reply& answer) { got = answer; });
     time.run_until(time.now() + milliseconds{100});
     BOOST_TEST_REQUIRE(got.has_value());
     return got->status;
--- a/Source/UnitTests/Node/RefusalTest.cpp
+++ b/Source/UnitTests/Node/RefusalTest.cpp
@@ -52,7 +52,7 @@
 struct refusing
 {
   explored_cell cell{k_seed};
-  std::optional<http::outgoing_answer> got;
+  std::optional<http::outgoing_reply> got;
   common::time_point answered_at{};
 
   refusing() { run_for(seconds{3}); }
@@ -66,7 +66,7 @@
   {
     got.reset();
     instance(which).core->handle({verb, model::k_host, model::k_plain_prefix + k_id, body, "3000"},
-                                 [this](const http::outgoing_answer& answer)
+                                 [this](const http::outgoing_reply& answer)
                                  {
                                    got = answer;
                                    answered_at = cell.time().now();
