--- a/Source/Core/Http/HttpClient.cpp
+++ b/Source/Core/Http/HttpClient.cpp
@@ -35,12 +35,14 @@
 using error_code = boost::system::error_code;
 using clock = timer_queue::clock;
 
-// Unacknowledged bytes end a connection after this time, so that a peer without power is noticed
-// even where the call itself would wait longer. Twice the longest round trip of a slow link.
-constexpr int k_user_timeout_ms = 3000;
-// An idle connection older than this is closed instead of used: peers close theirs after 15 s.
-constexpr std::chrono::seconds k_longest_idle{10};
-constexpr std::size_t k_most_read = 65536;
+// TCP closes a connection whose sent bytes stay unacknowledged for this time. It detects a peer
+// that lost power even if the call's own timeout is longer. The value is twice the longest round
+// trip of a slow link.
+constexpr int k_tcp_user_timeout_ms = 3000;
+// A connection that has been idle for longer is closed instead of reused, because peers close their
+// idle connections after 15 s.
+constexpr std::chrono::seconds k_max_idle_time{10};
+constexpr std::size_t k_max_read_bytes = 65536;
 
 using peer_key = std::pair<std::string, std::uint16_t>;
 
@@ -75,7 +77,8 @@
   tcp::socket socket;
   beast::flat_buffer buffer;
   common::time_point idle_since;
-  // Of the call under way. Its pool stays for as long as it is busy.
+  // The members below belong to the call in flight. `pool` stays valid during the call, since a
+  // pool is only removed while it has no calls.
   peer_pool* pool = nullptr;
   std::string outgoing;
   std::optional<reply_parser> incoming;
@@ -85,7 +88,7 @@
   reply_handler done;
 };
 
-using link_pointer = std::shared_ptr<connection>;
+using connection_pointer = std::shared_ptr<connection>;
 } // namespace
 
 class http_client::implementation : public std::enable_shared_from_this<implementation>
@@ -99,9 +102,9 @@
   void send(const peer_key& key, waiting_call call)
   {
     peer_pool& pool = m_pools.try_emplace(key, key).first->second;
-    if (pool.busy >= m_options.most_connections)
+    if (pool.busy >= m_options.max_connections)
     {
-      if (pool.waiting.size() >= m_options.most_waiting)
+      if (pool.waiting.size() >= m_options.max_waiting)
         asio::post(m_io,
                    [done = std::move(call.done)] {
                      done({0, {}, "too many calls wait for this peer", true});
@@ -110,7 +113,7 @@
         pool.waiting.push_back(std::move(call));
       return;
     }
-    begin(pool, std::move(call));
+    start_call(pool, std::move(call));
   }
 
   void forget(const peer_key& key)
@@ -124,10 +127,10 @@
   }
 
 private:
-  void begin(peer_pool& pool, waiting_call call)
+  void start_call(peer_pool& pool, waiting_call call)
   {
     ++pool.busy;
-    link_pointer link = take_idle(pool);
+    connection_pointer link = take_idle(pool);
     const bool connected = link != nullptr;
     if (!connected)
       link = std::make_shared<connection>(m_io);
@@ -135,27 +138,27 @@
     link->done = std::move(call.done);
     link->expects = std::move(call.call.expects);
     write_request(link->outgoing, pool.host, call.call);
-    expire_at(*link, call.expires);
+    set_deadline(*link, call.expires);
     if (connected)
       write(link);
     else
       connect(link);
   }
 
-  void expire_at(connection& link, clock::time_point when)
+  void set_deadline(connection& link, clock::time_point when)
   {
-    expire_never(link);
+    clear_deadline(link);
     link.deadline = m_deadlines.add(when, [&link] { expire(link); });
   }
 
-  void expire_never(connection& link)
+  void clear_deadline(connection& link)
   {
     if (link.deadline)
       m_deadlines.remove(*link.deadline);
     link.deadline.reset();
   }
 
-  // What is under way on it ends with an error.
+  // Closes the socket, so that the pending asynchronous operation completes with an error.
   static void expire(connection& link)
   {
     link.deadline.reset();
@@ -164,19 +167,20 @@
     link.socket.close(ignored);
   }
 
-  link_pointer take_idle(peer_pool& pool)
+  connection_pointer take_idle(peer_pool& pool)
   {
     while (!pool.idle.empty())
     {
-      link_pointer link = std::move(pool.idle.back());
+      connection_pointer link = std::move(pool.idle.back());
       pool.idle.pop_back();
-      if (common::boot_time() - link->idle_since < k_longest_idle && !closed_by_peer(*link))
+      if (common::boot_time() - link->idle_since < k_max_idle_time && !closed_by_peer(*link))
         return link;
     }
     return nullptr;
   }
 
-  // An idle connection has nothing to read; end of file or stray bytes mean it is of no use.
+  // Whether an idle connection is unusable. No data may arrive on an idle connection, so end of
+  // file or unexpected bytes rule out its reuse.
   static bool closed_by_peer(connection& link)
   {
     char probe = 0;
@@ -184,13 +188,13 @@
     return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
   }
 
-  void connect(const link_pointer& link)
+  void connect(const connection_pointer& link)
   {
     error_code error;
     const auto address = asio::ip::make_address(link->pool->address, error);
     if (error)
     {
-      finish_soon(link, {0, {}, "bad address", true});
+      post_finish(link, {0, {}, "bad address", true});
       return;
     }
     link->socket.async_connect(tcp::endpoint(address, link->pool->port),
@@ -198,30 +202,31 @@
                                { self->on_connected(link, failed); });
   }
 
-  void on_connected(const link_pointer& link, const error_code& failed)
+  void on_connected(const connection_pointer& link, const error_code& failed)
   {
     if (failed || link->expired)
     {
-      finish(link, {0, {}, "connect: " + message_of(*link, failed), true}, false);
+      finish(link, {0, {}, "connect: " + error_text(*link, failed), true}, false);
       return;
     }
     error_code ignored;
     link->socket.non_blocking(true, ignored);
     link->socket.set_option(tcp::no_delay(true), ignored);
     link->socket.set_option(
-        asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(k_user_timeout_ms),
+        asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(k_tcp_user_timeout_ms),
         ignored);
     write(link);
   }
 
-  // A call fits into the socket's buffer as a rule, so that it is sent without a turn of the loop.
-  void write(const link_pointer& link)
+  // Tries a direct write first: a request usually fits into the socket's send buffer, which saves
+  // an iteration of the event loop.
+  void write(const connection_pointer& link)
   {
     error_code failed;
     const std::size_t sent = link->socket.write_some(asio::buffer(link->outgoing), failed);
     if (failed && failed != asio::error::would_block)
     {
-      finish_soon(link, {0, {}, "send: " + message_of(*link, failed), false});
+      post_finish(link, {0, {}, "send: " + error_text(*link, failed), false});
       return;
     }
     if (sent == link->outgoing.size())
@@ -234,24 +239,24 @@
         [self = shared_from_this(), link](const error_code& broken, std::size_t)
         {
           if (broken)
-            self->finish(link, {0, {}, "send: " + message_of(*link, broken), false}, false);
+            self->finish(link, {0, {}, "send: " + error_text(*link, broken), false}, false);
           else
             self->read(link);
         });
   }
 
-  void read(const link_pointer& link)
+  void read(const connection_pointer& link)
   {
     link->incoming.emplace(link->expects && link->expects->most_bytes > 0
                                ? link->expects->most_bytes
-                               : m_options.most_body);
+                               : m_options.max_body_bytes);
     read_some(link);
   }
 
-  void read_some(const link_pointer& link)
+  void read_some(const connection_pointer& link)
   {
     link->socket.async_read_some(
-        link->buffer.prepare(beast::read_size(link->buffer, k_most_read)),
+        link->buffer.prepare(beast::read_size(link->buffer, k_max_read_bytes)),
         [self = shared_from_this(), link](const error_code& failed, std::size_t bytes)
         {
           link->buffer.commit(bytes);
@@ -259,18 +264,18 @@
         });
   }
 
-  void on_read(const link_pointer& link, error_code failed)
+  void on_read(const connection_pointer& link, error_code failed)
   {
     reply_parser& answer = *link->incoming;
-    std::size_t taken = 0;
+    std::size_t parsed_bytes = 0;
     if (failed == asio::error::eof && answer.got_some())
       answer.put_eof(failed);
     else if (failed == asio::error::eof)
       failed = bhttp::error::end_of_stream;
     else if (!failed)
     {
-      taken = answer.put(link->buffer.data(), failed);
-      link->buffer.consume(taken);
+      parsed_bytes = answer.put(link->buffer.data(), failed);
+      link->buffer.consume(parsed_bytes);
       if (failed == bhttp::error::need_more)
         failed = {};
     }
@@ -284,55 +289,56 @@
     }
     if (failed)
     {
-      finish(link, {0, {}, "receive: " + message_of(*link, failed) + came_of(*link), false}, false);
+      finish(link, {0, {}, "receive: " + error_text(*link, failed) + received_part(*link), false},
+             false);
       return;
     }
-    if (taken > 0 && link->expects && link->expects->coming)
+    if (parsed_bytes > 0 && link->expects && link->expects->coming)
       link->expects->coming();
     if (!answer.is_done())
     {
-      if (taken > 0 && link->expects)
-        expire_at(*link, clock::now() + link->expects->max_pause);
+      if (parsed_bytes > 0 && link->expects)
+        set_deadline(*link, clock::now() + link->expects->max_pause);
       read_some(link);
       return;
     }
-    const bool keep = answer.keep_alive() && !link->expired && link->buffer.size() == 0;
-    finish(link, {answer.status(), std::move(answer.body()), {}, false}, keep);
+    const bool reuse = answer.keep_alive() && !link->expired && link->buffer.size() == 0;
+    finish(link, {answer.status(), std::move(answer.body()), {}, false}, reuse);
   }
 
-  static std::string message_of(const connection& link, const error_code& failed)
+  static std::string error_text(const connection& link, const error_code& failed)
   {
     return link.expired ? make_error_code(beast::error::timeout).message() : failed.message();
   }
 
-  // How much of an answer came before its call ended; nothing if none of its body did. Tells a peer
-  // that is silent from a link that is too narrow for the time given.
-  static std::string came_of(connection& link)
+  // Describes how much of the reply's body arrived before the call failed; empty if nothing did.
+  // This distinguishes a silent peer from a link that is too slow for the timeout.
+  static std::string received_part(connection& link)
   {
-    const std::size_t came = link.incoming->body().size();
-    if (came == 0)
+    const std::size_t received = link.incoming->body().size();
+    if (received == 0)
       return {};
-    const auto whole = link.incoming->content_length();
-    return " after " + std::to_string(came) + " of " +
-           (whole ? std::to_string(*whole) : std::string("an unknown number of")) + " bytes";
+    const auto total = link.incoming->content_length();
+    return " after " + std::to_string(received) + " of " +
+           (total ? std::to_string(*total) : std::string("an unknown number of")) + " bytes";
   }
 
-  // Of a call that fails at once, whose caller is told from the loop.
-  void finish_soon(const link_pointer& link, reply answer)
+  // Ends a call that failed immediately; its `done` handler still runs from the event loop.
+  void post_finish(const connection_pointer& link, reply answer)
   {
     asio::post(m_io, [self = shared_from_this(), link, answer = std::move(answer)]() mutable
                { self->finish(link, std::move(answer), false); });
   }
 
-  void finish(const link_pointer& link, reply answer, bool keep)
+  void finish(const connection_pointer& link, reply answer, bool reuse)
   {
     reply_handler done = std::move(link->done);
     link->done = nullptr;
-    expire_never(*link);
+    clear_deadline(*link);
     link->incoming.reset();
     peer_pool& pool = *std::exchange(link->pool, nullptr);
     --pool.busy;
-    if (keep)
+    if (reuse)
     {
       link->idle_since = common::boot_time();
       pool.idle.push_back(link);
@@ -342,19 +348,19 @@
       error_code ignored;
       link->socket.close(ignored);
     }
-    next(pool);
+    start_waiting_calls(pool);
     done(std::move(answer));
   }
 
-  void next(peer_pool& pool)
+  void start_waiting_calls(peer_pool& pool)
   {
-    while (!pool.waiting.empty() && pool.busy < m_options.most_connections)
+    while (!pool.waiting.empty() && pool.busy < m_options.max_connections)
     {
       waiting_call call = std::move(pool.waiting.front());
       pool.waiting.pop_front();
       if (call.expires > clock::now())
       {
-        begin(pool, std::move(call));
+        start_call(pool, std::move(call));
         continue;
       }
       asio::post(m_io,
--- a/Source/Core/Http/HttpClient.h
+++ b/Source/Core/Http/HttpClient.h
@@ -3,10 +3,11 @@
 
 #pragma once
 
-// HTTP calls to any number of peers from one thread, over kept connections.
+// HTTP client for any number of peers on one event loop thread, with persistent connections.
 //
-// A call is sent once: it is never repeated behind the caller's back, so that a conditional write
-// whose connection broke is reported as unanswered. Calls beyond a peer's connections wait in line.
+// Each call is sent at most once. The client never retries a call on its own, so that a conditional
+// write whose connection broke is reported as unanswered. Calls that exceed a peer's connection
+// limit wait in a queue.
 
 #include <cstddef>
 #include <memory>
@@ -22,9 +23,9 @@
 {
 struct client_options
 {
-  std::size_t most_connections = 4;  // to one peer
-  std::size_t most_waiting = 2000;   // calls in line for one peer; more fail at once
-  std::size_t most_body = 16U << 20; // bytes of an answer
+  std::size_t max_connections = 4;        // to one peer
+  std::size_t max_waiting = 2000;         // queued calls to one peer; further calls fail at once
+  std::size_t max_body_bytes = 16U << 20; // of a reply
 };
 
 class http_client : public peer_sender
@@ -35,11 +36,12 @@
   http_client(const http_client&) = delete;
   http_client& operator=(const http_client&) = delete;
 
-  // `timeout` covers waiting in line, connecting and the answer; of a call that expects a long one,
-  // its beginning. `done` is called exactly once, from the event loop.
+  // `timeout` covers queueing, connecting and receiving the whole reply. For a call with
+  // `expects` set, it ends once the reply's first bytes have been parsed. `done` is called exactly
+  // once, from the event loop.
   void send(const common::endpoint& peer, request call, common::duration timeout,
             reply_handler done) override;
-  // Closes the idle connections to a peer that is gone.
+  // Closes the idle connections to a peer that no longer exists.
   void forget(const common::endpoint& peer);
 
 private:
--- a/Source/Core/Http/HttpListener.cpp
+++ b/Source/Core/Http/HttpListener.cpp
@@ -21,9 +21,9 @@
 using tcp = asio::ip::tcp;
 using error_code = boost::system::error_code;
 
-// After a failed accept (no descriptors left) the listener pauses for this time.
-constexpr std::chrono::milliseconds k_accept_pause{50};
-// A caller that does not take its answer within this time is cut off.
+// Delay before the next accept after a failed one, for example when no file descriptors are left.
+constexpr std::chrono::milliseconds k_accept_retry_delay{50};
+// The connection of a caller that does not receive its reply within this time is closed.
 constexpr std::chrono::seconds k_write_timeout{5};
 
 struct listener_state
@@ -53,7 +53,8 @@
   }
 }
 
-// One caller's connection: reads a request, hands it on, writes the answer, and again.
+// One caller's connection: reads a request, passes it to the handler, writes the reply, and
+// repeats.
 class session : public std::enable_shared_from_this<session>
 {
 public:
@@ -69,8 +70,8 @@
   void read()
   {
     m_parser.emplace();
-    m_parser->header_limit(static_cast<std::uint32_t>(m_state->limits.most_header));
-    m_parser->body_limit(m_state->limits.most_body);
+    m_parser->header_limit(static_cast<std::uint32_t>(m_state->limits.max_header_bytes));
+    m_parser->body_limit(m_state->limits.max_body_bytes);
     m_stream.expires_after(m_state->limits.idle_timeout);
     bhttp::async_read_header(m_stream, m_buffer, *m_parser,
                              [self = shared_from_this()](const error_code& failed, std::size_t)
@@ -92,26 +93,27 @@
                         if (broken)
                           self->reject(broken);
                         else
-                          self->hand_on();
+                          self->dispatch();
                       });
   }
 
-  // A caller that broke off gets no answer; one that sent too much or nonsense is told.
-  void reject(const error_code& why)
+  // Replies with an error if the request was too large or arrived too slowly. After any other
+  // error, such as a closed connection, no reply is sent.
+  void reject(const error_code& error)
   {
-    m_parser_keeps_alive = false;
-    if (why == bhttp::error::body_limit)
+    m_keep_alive = false;
+    if (error == bhttp::error::body_limit)
       write({413, R"({"error":"the body is too large"})", "application/json", {}});
-    else if (why == bhttp::error::header_limit)
+    else if (error == bhttp::error::header_limit)
       write({431, R"({"error":"the header is too large"})", "application/json", {}});
-    else if (why == beast::error::timeout && m_parser->got_some())
+    else if (error == beast::error::timeout && m_parser->got_some())
       write({408, R"({"error":"the request did not arrive in time"})", "application/json", {}});
   }
 
-  void hand_on()
+  void dispatch()
   {
     auto message = m_parser->release();
-    m_parser_keeps_alive = message.keep_alive();
+    m_keep_alive = message.keep_alive();
     m_stream.expires_never();
     incoming_request request;
     request.verb = method_of(message.method());
@@ -120,30 +122,30 @@
     request.captured_header = std::string(message[m_state->captured_header]);
     request.body = std::move(message.body());
     ++m_state->in_flight;
-    m_counted = true;
+    m_request_in_flight = true;
     m_state->handle(std::move(request), [self = shared_from_this()](outgoing_reply answer)
                     { self->write(std::move(answer)); });
   }
 
   void write(outgoing_reply answer)
   {
-    if (m_counted)
+    if (m_request_in_flight)
       --m_state->in_flight;
-    m_counted = false;
-    m_answer = {};
-    m_answer.version(11);
-    m_answer.result(answer.status);
-    m_answer.set(bhttp::field::content_type, answer.content_type);
+    m_request_in_flight = false;
+    m_reply = {};
+    m_reply.version(11);
+    m_reply.result(answer.status);
+    m_reply.set(bhttp::field::content_type, answer.content_type);
     for (const auto& [name, value] : answer.headers)
-      m_answer.set(name, value);
-    m_answer.body() = std::move(answer.body);
-    m_answer.keep_alive(m_parser_keeps_alive && !m_state->closing && !answer.close);
-    m_answer.prepare_payload();
+      m_reply.set(name, value);
+    m_reply.body() = std::move(answer.body);
+    m_reply.keep_alive(m_keep_alive && !m_state->closing && !answer.close);
+    m_reply.prepare_payload();
     m_stream.expires_after(k_write_timeout);
-    bhttp::async_write(m_stream, m_answer,
+    bhttp::async_write(m_stream, m_reply,
                        [self = shared_from_this()](const error_code& failed, std::size_t)
                        {
-                         if (!failed && self->m_answer.keep_alive())
+                         if (!failed && self->m_reply.keep_alive())
                          {
                            self->read();
                            return;
@@ -157,9 +159,9 @@
   std::shared_ptr<listener_state> m_state;
   beast::flat_buffer m_buffer;
   std::optional<bhttp::request_parser<bhttp::string_body>> m_parser;
-  bhttp::response<bhttp::string_body> m_answer;
-  bool m_parser_keeps_alive = false;
-  bool m_counted = false;
+  bhttp::response<bhttp::string_body> m_reply;
+  bool m_keep_alive = false;
+  bool m_request_in_flight = false;
 };
 } // namespace
 
@@ -169,7 +171,7 @@
   implementation(asio::io_context& io, const common::endpoint& where, std::string captured_header,
                  request_handler handle)
       : m_acceptor(io, tcp::endpoint(asio::ip::make_address(where.address), where.port)),
-        m_pause(io),
+        m_accept_timer(io),
         m_state(std::make_shared<listener_state>())
   {
     m_state->captured_header = std::move(captured_header);
@@ -185,10 +187,10 @@
             return;
           if (failed)
           {
-            self->pause();
+            self->retry_accept_later();
             return;
           }
-          if (self->m_state->connections < self->m_state->limits.most_connections)
+          if (self->m_state->connections < self->m_state->limits.max_connections)
             std::make_shared<session>(std::move(socket), self->m_state)->read();
           self->accept();
         });
@@ -198,16 +200,16 @@
   {
     error_code ignored;
     m_acceptor.close(ignored);
-    m_pause.cancel();
+    m_accept_timer.cancel();
   }
 
   listener_state& state() { return *m_state; }
 
 private:
-  void pause()
+  void retry_accept_later()
   {
-    m_pause.expires_after(k_accept_pause);
-    m_pause.async_wait(
+    m_accept_timer.expires_after(k_accept_retry_delay);
+    m_accept_timer.async_wait(
         [self = shared_from_this()](const error_code& ended)
         {
           if (!ended)
@@ -216,7 +218,7 @@
   }
 
   tcp::acceptor m_acceptor;
-  asio::steady_timer m_pause;
+  asio::steady_timer m_accept_timer;
   std::shared_ptr<listener_state> m_state;
 };
 
--- a/Source/Core/Http/HttpListener.h
+++ b/Source/Core/Http/HttpListener.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// An HTTP/1.1 server on one address, on the event loop's thread, with every size and time bounded.
+// An HTTP/1.1 server for one address. It runs on the event loop's thread and limits the size of
+// requests, the number of connections and the time of each read and write.
 
 #include <cstddef>
 #include <functional>
@@ -24,7 +25,8 @@
   std::string host;
   std::string target;
   std::string body;
-  std::string captured_header; // text of the one header that the listener looks for; empty if none
+  std::string
+      captured_header; // value of the header that the listener was told to capture, or empty
 };
 
 struct outgoing_reply
@@ -33,7 +35,7 @@
   std::string body;
   std::string content_type = "application/json";
   header_list headers;
-  bool close = false; // the connection, once the answer is sent
+  bool close = false; // closes the connection once the reply is sent
 };
 
 using responder = std::function<void(outgoing_reply)>;
@@ -42,17 +44,17 @@
 class http_listener
 {
 public:
-  // Throws boost::system::system_error when the address cannot be listened on. `captured_header`
-  // is the name of the header that is handed on.
+  // Throws boost::system::system_error if listening on the address fails. `captured_header` is the
+  // name of the request header whose value is passed to the handler.
   http_listener(boost::asio::io_context& io, const common::endpoint& where,
                 std::string captured_header, request_handler handle);
   ~http_listener();
   http_listener(const http_listener&) = delete;
   http_listener& operator=(const http_listener&) = delete;
 
-  // Holds for requests that begin from now on.
+  // The limits apply to requests whose reading starts after this call.
   void set_limits(const listener_limits& limits);
-  // From now on each answer closes its connection.
+  // From now on, each connection is closed after its next reply.
   void close_after_replies();
   std::size_t requests_in_flight() const;
 
--- a/Source/Core/Http/HttpMessage.h
+++ b/Source/Core/Http/HttpMessage.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// HTTP/1.1 messages as the rest of the code sees them, free of the library that carries them.
+// HTTP/1.1 messages in a form that is independent of the HTTP library.
 
 #include <cstddef>
 #include <functional>
@@ -27,17 +27,17 @@
 
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
-// How to wait for an answer whose length is not known beforehand.
+// How to wait for a reply whose length is not known beforehand.
 //
-// A bound on the time of the whole answer is wrong where a link is the bottleneck: an answer that
-// needs longer is thrown away with all that has come of it, asked for anew and given up again,
-// without end. So the call's time-out holds until the answer begins, and from then on the call
-// lasts for as long as bytes keep coming.
+// A timeout for the whole reply fails where a link is the bottleneck: a reply that takes longer is
+// discarded with all the bytes received so far, requested again and discarded again, without end.
+// Therefore the call's timeout only applies until the reply starts; after that the call continues
+// for as long as bytes keep arriving.
 struct long_reply
 {
-  common::duration max_pause{}; // between bytes
-  std::size_t most_bytes = 0;   // of the body; 0: as the client is set
-  std::function<void()> coming; // called each time that bytes have come; may be empty
+  common::duration max_pause{}; // longest time without new bytes
+  std::size_t most_bytes = 0;   // limit of the body; 0: the client's own limit
+  std::function<void()> coming; // called whenever bytes have arrived; may be empty
 };
 
 struct request
@@ -46,16 +46,16 @@
   std::string target; // path and query
   std::string body;
   header_list headers;
-  std::optional<long_reply> expects = std::nullopt; // none: the time-out covers the whole answer
+  std::optional<long_reply> expects = std::nullopt; // none: the timeout covers the whole reply
 };
 
 struct reply
 {
-  unsigned status = 0; // 0: no whole answer came
+  unsigned status = 0; // 0: no complete reply arrived
   std::string body;
-  std::string failure;   // why no answer came
-  bool refused = false;  // no connection could be made, so the peer knows nothing of the call
-  bool too_long = false; // answered with more bytes than were expected; the body is empty
+  std::string failure;   // why no reply arrived
+  bool refused = false;  // the call was not sent, so the peer cannot have acted on it
+  bool too_long = false; // the body exceeds `most_bytes` of the call and is left empty
 
   bool answered() const { return status != 0; }
   bool ok() const { return status >= 200 && status < 300; }
--- a/Source/Core/Http/ListenerLimits.h
+++ b/Source/Core/Http/ListenerLimits.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Bounds of an HTTP listener. The operator's configuration sets all but the connections.
+// Limits of an HTTP listener. The operator's configuration sets all of them except the number of
+// connections.
 
 #include <cstddef>
 
@@ -13,9 +14,9 @@
 {
 struct listener_limits
 {
-  std::size_t most_connections = 1500;
-  std::size_t most_header = 16384; // bytes
-  std::size_t most_body = 262144;  // bytes
+  std::size_t max_connections = 1500;
+  std::size_t max_header_bytes = 16384;
+  std::size_t max_body_bytes = 262144;
   common::duration header_timeout = std::chrono::seconds{3};
   common::duration idle_timeout = std::chrono::seconds{15};
 };
--- a/Source/Core/Http/ReplyParser.h
+++ b/Source/Core/Http/ReplyParser.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// What a client needs of an HTTP answer: its status and body. The fields are checked and dropped,
-// since nobody asks for them.
+// Parses an HTTP response and keeps its status and body. Header fields are checked for validity but
+// not stored, since no caller of the client uses them.
 
 #include <cstdint>
 #include <string>
@@ -16,10 +16,10 @@
 class reply_parser : public boost::beast::http::basic_parser<false>
 {
 public:
-  explicit reply_parser(std::uint64_t most_body)
+  explicit reply_parser(std::uint64_t max_body_bytes)
   {
     eager(true);
-    body_limit(most_body);
+    body_limit(max_body_bytes);
   }
 
   unsigned status() const { return m_status; }
@@ -41,19 +41,19 @@
   void on_header_impl(error_code&) override {}
   void on_body_init_impl(const boost::optional<std::uint64_t>& length, error_code&) override
   {
-    // The length is within the limit by now.
+    // The base parser has already rejected a Content-Length above the body limit.
     if (length)
       m_body.reserve(static_cast<std::size_t>(*length));
   }
-  std::size_t on_body_impl(string_view part, error_code&) override { return add(part); }
+  std::size_t on_body_impl(string_view part, error_code&) override { return append(part); }
   void on_chunk_header_impl(std::uint64_t, string_view, error_code&) override {}
   std::size_t on_chunk_body_impl(std::uint64_t, string_view part, error_code&) override
   {
-    return add(part);
+    return append(part);
   }
   void on_finish_impl(error_code&) override {}
 
-  std::size_t add(string_view part)
+  std::size_t append(string_view part)
   {
     m_body.append(part.data(), part.size());
     return part.size();
--- a/Source/Core/Http/RequestSender.h
+++ b/Source/Core/Http/RequestSender.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// A way to one HTTP service, whichever it is.
+// Interfaces for sending HTTP requests, independent of the transport.
 
 #include "Common/InstanceSettings.h"
 #include "Common/Time.h"
@@ -11,6 +11,7 @@
 
 namespace yardhill::http
 {
+// Sends requests to one HTTP service; the implementation knows its address.
 class request_sender
 {
 public:
@@ -20,7 +21,7 @@
   virtual void send(request call, common::duration timeout, reply_handler done) = 0;
 };
 
-// A way to any HTTP service, by its address.
+// Sends requests to any HTTP service, given its address.
 class peer_sender
 {
 public:
--- a/Source/Core/Http/RequestText.h
+++ b/Source/Core/Http/RequestText.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// A request as it is sent, in one piece.
+// Serializes an HTTP/1.1 request, head and body, into one string.
 
 #include <string>
 #include <string_view>
@@ -27,7 +27,7 @@
   }
 }
 
-// Replaces what `out` holds and keeps its room.
+// Overwrites `out`, reusing its allocated capacity.
 inline void write_request(std::string& out, const std::string& host, const request& call)
 {
   out.assign(to_text(call.verb)).append(" ").append(call.target);
--- a/Source/Core/Http/RoundTrip.h
+++ b/Source/Core/Http/RoundTrip.h
@@ -3,11 +3,11 @@
 
 #pragma once
 
-// How long answers take at present, and so how long a call may be without one before it counts as
-// unanswered: the estimator of RFC 6298, section 2, for calls in place of segments.
+// Estimates how long replies currently take, and from that the time after which a call counts as
+// unanswered. Uses the estimator of RFC 6298, section 2, for calls instead of segments.
 //
-// A bound of fixed length is wrong as soon as a link or a processor is the bottleneck: all calls
-// are late then, each is made again, and the copies keep the queue as long as it is.
+// A fixed timeout fails once a link or a processor is the bottleneck: then all calls time out, each
+// one is repeated, and the repeated calls keep the queue from shrinking.
 
 #include <algorithm>
 #include <optional>
@@ -19,33 +19,35 @@
 class round_trip_estimator
 {
 public:
-  // An answered call took so long, also if it had been given up.
-  void add(common::duration took)
+  // Adds the duration of an answered call, including one whose reply arrived after its timeout.
+  void add(common::duration sample)
   {
     if (!m_smoothed)
     {
-      m_smoothed = took;
-      m_deviation = took / 2;
+      m_smoothed = sample;
+      m_deviation = sample / 2;
       return;
     }
-    const common::duration off = took > *m_smoothed ? took - *m_smoothed : *m_smoothed - took;
-    m_deviation += (off - m_deviation) / k_deviation_gain;
-    *m_smoothed += (took - *m_smoothed) / k_smoothing_gain;
+    const common::duration error =
+        sample > *m_smoothed ? sample - *m_smoothed : *m_smoothed - sample;
+    m_deviation += (error - m_deviation) / k_deviation_gain;
+    *m_smoothed += (sample - *m_smoothed) / k_smoothing_gain;
   }
 
-  // Zero before the first answer.
+  // The smoothed round-trip time; zero before the first sample.
   common::duration smoothed() const { return m_smoothed.value_or(common::duration{0}); }
 
-  common::duration patience(common::duration least, common::duration most) const
+  // The smoothed round-trip time plus four deviations, limited to [`least`, `most`].
+  common::duration timeout(common::duration least, common::duration most) const
   {
-    return std::clamp(smoothed() + k_deviations * m_deviation, least, most);
+    return std::clamp(smoothed() + k_deviation_factor * m_deviation, least, most);
   }
 
 private:
-  // The RFC's gains (an eighth, a quarter) and its four deviations.
+  // RFC 6298: gains of 1/8 and 1/4 (as divisors), and a timeout of four deviations above the mean.
   static constexpr int k_smoothing_gain = 8;
   static constexpr int k_deviation_gain = 4;
-  static constexpr int k_deviations = 4;
+  static constexpr int k_deviation_factor = 4;
 
   std::optional<common::duration> m_smoothed;
   common::duration m_deviation{0};
--- a/Source/Core/Http/TimerQueue.h
+++ b/Source/Core/Http/TimerQueue.h
@@ -3,11 +3,11 @@
 
 #pragma once
 
-// Any number of calls to come on an event loop, over one timer of the loop.
+// Schedules any number of callbacks on an event loop with a single timer of the loop.
 //
-// Most are taken back before their time, as the answer that they bound has come. The timer stays
-// armed for the earliest one it was told of, so that adding and taking back touch the loop's timers
-// only where a call comes before all others.
+// Most callbacks are call timeouts, which are removed before they are due because the reply
+// arrived. To save operations on the loop's timer, removing a callback leaves it as it is, and
+// adding one changes it only if the new callback is due before the time that the timer is set to.
 
 #include <chrono>
 #include <functional>
@@ -26,21 +26,22 @@
   using entry = std::multimap<clock::time_point, std::function<void()>>::iterator;
 
   explicit timer_queue(boost::asio::io_context& io) : m_state(std::make_shared<state>(io)) {}
-  ~timer_queue() { m_state->calls.clear(); }
+  ~timer_queue() { m_state->timers.clear(); }
   timer_queue(const timer_queue&) = delete;
   timer_queue& operator=(const timer_queue&) = delete;
 
-  // Calls `what` once from the event loop; of one time, in the order in which they were added.
-  entry add(clock::time_point when, std::function<void()> what)
+  // Runs `callback` once from the event loop at the time `when`. Callbacks with the same time run
+  // in the order in which they were added.
+  entry add(clock::time_point when, std::function<void()> callback)
   {
-    const entry added = m_state->calls.emplace(when, std::move(what));
-    if (when < m_state->armed)
-      arm(m_state, when);
+    const entry added = m_state->timers.emplace(when, std::move(callback));
+    if (when < m_state->armed_for)
+      arm_timer(m_state, when);
     return added;
   }
 
-  // Only of a call that has not begun.
-  void remove(entry which) { m_state->calls.erase(which); }
+  // The callback must not have started.
+  void remove(entry timer) { m_state->timers.erase(timer); }
 
 private:
   struct state
@@ -48,37 +49,39 @@
     explicit state(boost::asio::io_context& io) : timer(io) {}
 
     boost::asio::steady_timer timer;
-    std::multimap<clock::time_point, std::function<void()>> calls;
-    clock::time_point armed = clock::time_point::max();
+    std::multimap<clock::time_point, std::function<void()>> timers;
+    clock::time_point armed_for = clock::time_point::max();
   };
 
-  static void arm(const std::shared_ptr<state>& queue, clock::time_point when)
+  static void arm_timer(const std::shared_ptr<state>& queue, clock::time_point when)
   {
-    queue->armed = when;
+    queue->armed_for = when;
     queue->timer.expires_at(when);
     queue->timer.async_wait(
         [alive = std::weak_ptr<state>(queue), when](const boost::system::error_code& cancelled)
         {
           const std::shared_ptr<state> locked = alive.lock();
-          // It may have been armed anew after it ran out.
-          if (!cancelled && locked && locked->armed == when)
-            call_due(locked);
+          // The timer may have been set to another time after it expired but before this handler
+          // ran.
+          if (!cancelled && locked && locked->armed_for == when)
+            run_due(locked);
         });
   }
 
-  static void call_due(const std::shared_ptr<state>& queue)
+  static void run_due(const std::shared_ptr<state>& queue)
   {
     const clock::time_point now = clock::now();
-    // Nothing that is added meanwhile arms the timer.
-    queue->armed = clock::time_point::min();
-    while (!queue->calls.empty() && queue->calls.begin()->first <= now)
+    // Keeps callbacks added by the callbacks below from setting the timer; it is set after the
+    // loop.
+    queue->armed_for = clock::time_point::min();
+    while (!queue->timers.empty() && queue->timers.begin()->first <= now)
     {
-      const auto due = queue->calls.extract(queue->calls.begin());
+      const auto due = queue->timers.extract(queue->timers.begin());
       due.mapped()();
     }
-    queue->armed = clock::time_point::max();
-    if (!queue->calls.empty())
-      arm(queue, queue->calls.begin()->first);
+    queue->armed_for = clock::time_point::max();
+    if (!queue->timers.empty())
+      arm_timer(queue, queue->timers.begin()->first);
   }
 
   std::shared_ptr<state> m_state;
--- a/Source/UnitTests/Http/TimerQueueTest.cpp
+++ b/Source/UnitTests/Http/TimerQueueTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Calls to come over one timer of the loop.
+// Tests the order, removal and lifetime of callbacks that share one timer of the event loop.
 
 #include <optional>
 #include <string>
@@ -20,19 +20,19 @@
 {
   boost::asio::io_context io;
   std::optional<http::timer_queue> queue{std::in_place, io};
-  http::timer_queue::clock::time_point begun = http::timer_queue::clock::now();
+  http::timer_queue::clock::time_point start_time = http::timer_queue::clock::now();
   std::string called;
 
   http::timer_queue::entry add(milliseconds after, char name)
   {
-    return queue->add(begun + after, [this, name] { called += name; });
+    return queue->add(start_time + after, [this, name] { called += name; });
   }
 };
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(TimerQueueTest)
 
-BOOST_FIXTURE_TEST_CASE(calls_come_in_the_order_of_their_times, queue_under_test)
+BOOST_FIXTURE_TEST_CASE(callbacks_run_in_order_of_their_times, queue_under_test)
 {
   add(milliseconds{30}, 'c');
   add(milliseconds{10}, 'a');
@@ -42,7 +42,7 @@
   BOOST_TEST(called == "abcd");
 }
 
-BOOST_FIXTURE_TEST_CASE(none_comes_before_its_time_though_an_earlier_one_was_taken_back,
+BOOST_FIXTURE_TEST_CASE(removing_an_earlier_callback_does_not_make_a_later_one_run_early,
                         queue_under_test)
 {
   const auto first = add(milliseconds{10}, 'a');
@@ -50,13 +50,13 @@
   queue->remove(first);
   io.run();
   BOOST_TEST(called == "b");
-  BOOST_TEST((http::timer_queue::clock::now() >= begun + milliseconds{40}));
+  BOOST_TEST((http::timer_queue::clock::now() >= start_time + milliseconds{40}));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_call_may_add_and_take_back_others, queue_under_test)
+BOOST_FIXTURE_TEST_CASE(a_callback_may_add_and_remove_others, queue_under_test)
 {
   http::timer_queue::entry other;
-  queue->add(begun + milliseconds{5},
+  queue->add(start_time + milliseconds{5},
              [&]
              {
                queue->remove(other);
@@ -67,7 +67,7 @@
   BOOST_TEST(called == "n");
 }
 
-BOOST_FIXTURE_TEST_CASE(nothing_is_called_once_it_is_gone, queue_under_test)
+BOOST_FIXTURE_TEST_CASE(no_callback_runs_after_the_queue_is_destroyed, queue_under_test)
 {
   add(milliseconds{5}, 'a');
   queue.reset();
