--- a/Source/Core/Http/HttpMessage.h
+++ b/Source/Core/Http/HttpMessage.h
@@ -54,7 +54,7 @@
   unsigned status = 0; // 0: no complete reply arrived
   std::string body;
   std::string failure;   // why no reply arrived
-  bool refused = false;  // the call was not sent, so the peer cannot have acted on it
+  bool refused = false;  // no connection could be made, so the peer did not get the call
   bool too_long = false; // the body exceeds `most_bytes` of the call and is left empty
 
   bool answered() const { return status != 0; }
--- a/Source/Core/Http/TimerQueue.h
+++ b/Source/Core/Http/TimerQueue.h
@@ -61,8 +61,7 @@
         [alive = std::weak_ptr<state>(queue), when](const boost::system::error_code& cancelled)
         {
           const std::shared_ptr<state> locked = alive.lock();
-          // The timer may have been set to another time after it expired but before this handler
-          // ran.
+          // The timer may have been set anew between its expiry and this handler.
           if (!cancelled && locked && locked->armed_for == when)
             run_due(locked);
         });
@@ -71,8 +70,7 @@
   static void run_due(const std::shared_ptr<state>& queue)
   {
     const clock::time_point now = clock::now();
-    // Keeps callbacks added by the callbacks below from setting the timer; it is set after the
-    // loop.
+    // Keeps callbacks added inside the loop from setting the timer, which is set after the loop.
     queue->armed_for = clock::time_point::min();
     while (!queue->timers.empty() && queue->timers.begin()->first <= now)
     {
