--- a/Source/Core/Http/HttpListener.h
+++ b/Source/Core/Http/HttpListener.h
@@ -25,8 +25,7 @@
   std::string host;
   std::string target;
   std::string body;
-  std::string
-      captured_header; // value of the header that the listener was told to capture, or empty
+  std::string captured_header; // value of the header given to the listener, or empty
 };
 
 struct outgoing_reply
