--- a/Source/Benchmarks/SchedulerBenchmark.cpp
+++ b/Source/Benchmarks/SchedulerBenchmark.cpp
@@ -85,7 +85,7 @@
     m_scheduler.configure(cell, m_now);
     m_scheduler.begin_term(1, time_point{}, m_now);
     m_scheduler.records_loaded({}, m_now);
-    m_scheduler.set_right(placing_right::all);
+    m_scheduler.set_placement_scope(placement_scope::all);
     for (const worker_config& worker : cell.zones.front().workers)
     {
       m_ids.push_back(worker.id);
@@ -154,7 +154,7 @@
     for (const attempt_id& id : m_running[worker])
       news.running.push_back({id, {}});
     news.ended = std::move(ended);
-    m_scheduler.worker_news(worker, news, false, m_now);
+    m_scheduler.worker_reported(worker, news, false, m_now);
   }
 
   scheduling_options m_options;
--- a/Source/Core/Decision/PartitionScheduler.cpp
+++ b/Source/Core/Decision/PartitionScheduler.cpp
@@ -124,7 +124,7 @@
     return unclear(spec.id, refusal_reason::records_incomplete,
                    "the table service has not told yet whether this key is known", "accept",
                    k_store_come_back);
-  if (spec.keyed && m_right == placing_right::local_only)
+  if (spec.keyed && m_right == placement_scope::local_only)
     return unclear(spec.id, refusal_reason::no_owner,
                    "too few workers answer to rule out that another owner knows this key", "accept",
                    k_store_come_back);
--- a/Source/Core/Decision/PartitionScheduler.h
+++ b/Source/Core/Decision/PartitionScheduler.h
@@ -49,7 +49,7 @@
   void end_quarantine(time_point now);
   // The unfinished tasks that the table has. Until then durable ids cannot be judged.
   void records_loaded(const std::vector<stored_task>& tasks, time_point now);
-  void set_right(placing_right right) { m_right = right; }
+  void set_placement_scope(placement_scope right) { m_right = right; }
   void set_store_down(bool down) { m_store_down = down; }
   // Planned stop: nothing more is started here.
   void stop_placing() { m_placing_stopped = true; }
@@ -57,7 +57,8 @@
   // --- workers ---
   // A claim answer. `voided` says that the claim voided all earlier tickets, so that a start not
   // seen by now can never happen.
-  void worker_news(const worker_id& worker, const claim_answer& news, bool voided, time_point now);
+  void worker_reported(const worker_id& worker, const claim_answer& news, bool voided,
+                       time_point now);
   // The worker does not answer; what runs there is over at `lapses` at the latest.
   void worker_lost(const worker_id& worker, time_point lapses, time_point now);
   void start_answered(const worker_id& worker, const start_answer& results, time_point now);
@@ -188,7 +189,7 @@
   worker_inboxes m_inboxes;
   std::unordered_map<task_id, std::vector<reply_address>> m_finding; // asked of the table
   scheduler_output m_output;
-  placing_right m_right = placing_right::none;
+  placement_scope m_right = placement_scope::none;
   bool m_owned = false;
   bool m_records_complete = false;
   bool m_store_down = false;
--- a/Source/Core/Decision/PartitionSchedulerRecovery.cpp
+++ b/Source/Core/Decision/PartitionSchedulerRecovery.cpp
@@ -65,7 +65,7 @@
   m_finding.clear();
   m_owned = false;
   m_records_complete = false;
-  m_right = placing_right::none;
+  m_right = placement_scope::none;
   m_active = 0;
   m_queue.clear();
   m_pool.clear_grants();
--- a/Source/Core/Decision/PartitionSchedulerRuns.cpp
+++ b/Source/Core/Decision/PartitionSchedulerRuns.cpp
@@ -53,7 +53,7 @@
     const bool as_intended =
         !task.intent || task.spec.members > 1 ||
         (ledger.id() == task.intent->worker && ledger.boot() == task.intent->boot);
-    if (ledger.placeable() && as_intended && !m_placing_stopped && m_right != placing_right::none)
+    if (ledger.placeable() && as_intended && !m_placing_stopped && m_right != placement_scope::none)
       continue;
     withdraw_attempt(task);
     retry(task, retry_reason::start_refused, false, now);
--- a/Source/Core/Decision/PartitionSchedulerNews.cpp
+++ b/Source/Core/Decision/PartitionSchedulerWorkers.cpp
@@ -57,8 +57,8 @@
   }
 }
 
-void partition_scheduler::worker_news(const worker_id& worker, const claim_answer& news,
-                                      bool voided, time_point now)
+void partition_scheduler::worker_reported(const worker_id& worker, const claim_answer& news,
+                                          bool voided, time_point now)
 {
   const std::optional<std::size_t> position = m_pool.position_of(worker);
   if (!position || !m_owned)
--- a/Source/Core/Decision/PlacementPass.cpp
+++ b/Source/Core/Decision/PlacementPass.cpp
@@ -29,10 +29,10 @@
 {
 }
 
-pass_result placement_pass::run(placing_right right, double headroom, time_point now)
+pass_result placement_pass::run(placement_scope right, double headroom, time_point now)
 {
   pass_result result;
-  if (right == placing_right::none || m_queue.size() == 0)
+  if (right == placement_scope::none || m_queue.size() == 0)
     return result;
   m_right = right;
   m_now = now;
@@ -151,7 +151,7 @@
 
 bool placement_pass::allowed(const task_record& task) const
 {
-  if (m_right == placing_right::all)
+  if (m_right == placement_scope::all)
     return true;
   return !task.spec.keyed && !task.spec.durable() && task.spec.kind != task_kind::service &&
          !task.may_have_run;
--- a/Source/Core/Decision/PlacementPass.h
+++ b/Source/Core/Decision/PlacementPass.h
@@ -17,7 +17,7 @@
 namespace yardhill::decision
 {
 // What an owner may place, by what it knows of its standing at the workers.
-enum class placing_right
+enum class placement_scope
 {
   none,
   local_only, // only tasks that no other owner can know of
@@ -46,7 +46,7 @@
                  worker_pool& pool, waiting_queue& queue, team_shares& shares,
                  const run_estimator& estimator);
 
-  pass_result run(placing_right right, double headroom, time_point now);
+  pass_result run(placement_scope right, double headroom, time_point now);
 
 private:
   struct cursor
@@ -79,7 +79,7 @@
   const run_estimator& m_estimator;
 
   // State of the pass that runs.
-  placing_right m_right = placing_right::none;
+  placement_scope m_right = placement_scope::none;
   time_point m_now;
   resources m_room_left;           // over all workers
   resources m_headroom;            // kept for interactive work
--- a/Source/Core/Decision/SchedulerOutput.h
+++ b/Source/Core/Decision/SchedulerOutput.h
@@ -35,7 +35,7 @@
 };
 
 // What happened to a task, for the log.
-struct task_note
+struct task_log_event
 {
   task_id task;
   std::string_view step;
@@ -48,6 +48,6 @@
   std::vector<worker_stop> stops;
   std::vector<caller_reply> replies;
   std::vector<record_write> writes;
-  std::vector<task_note> notes;
+  std::vector<task_log_event> notes;
 };
 } // namespace yardhill::decision
--- a/Source/Core/Instance/PartitionHome.cpp
+++ b/Source/Core/Instance/PartitionHome.cpp
@@ -147,7 +147,7 @@
   }
   for (const ownership::worker_report& report : out.reports)
   {
-    m_scheduler.worker_news(report.worker, report.news, report.voided, now);
+    m_scheduler.worker_reported(report.worker, report.news, report.voided, now);
     m_ownership.set_settled(report.worker, m_scheduler.settled_up_to(report.worker));
   }
   if (out.every_worker_claimed)
@@ -206,11 +206,11 @@
 
 bool partition_home::carry_scheduler(time_point now)
 {
-  decision::placing_right right = decision::placing_right::none;
+  decision::placement_scope right = decision::placement_scope::none;
   if (m_ownership.owns())
-    right = m_ownership.has_majority(now) ? decision::placing_right::all
-                                          : decision::placing_right::local_only;
-  m_scheduler.set_right(right);
+    right = m_ownership.has_majority(now) ? decision::placement_scope::all
+                                          : decision::placement_scope::local_only;
+  m_scheduler.set_placement_scope(right);
   m_scheduler.set_store_down(m_store.down());
   m_scheduler.advance(now);
   decision::scheduler_output out = m_scheduler.take_output();
@@ -218,7 +218,7 @@
   send_stops(out.stops);
   for (const record_write& write : out.writes)
     m_store.append(write, now);
-  for (decision::task_note& note : out.notes)
+  for (decision::task_log_event& note : out.notes)
     log(log_level::info, std::string(note.step), {}, note.task, std::move(note.detail));
   const bool any = !out.starts.empty() || !out.writes.empty();
   std::ranges::move(out.replies, std::back_inserter(m_output.replies));
