--- a/Source/Core/Decision/AttemptVerdict.h
+++ b/Source/Core/Decision/AttemptVerdict.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// How an attempt went as a whole, once all its members are over, and the answers that follow.
+// Determines the outcome of an attempt once all its members have ended, and the final answers that
+// follow from it.
 
 #include "Common/Task.h"
 #include "Decision/TaskRecord.h"
@@ -14,19 +15,19 @@
 {
   done,
   stopped,          // by the caller or the deadline
-  not_started,      // no worker took a member
-  run_unclear,      // it may not run again, and its worker was lost
-  failed_for_good,  // it may not run again
-  preempted,        // stopped to make room for others
-  worker_lost,      // a member's lease ran out
+  not_started,      // no worker accepted a member
+  run_unclear,      // the task may not run again, and a worker of the attempt was lost
+  failed_for_good,  // the task may not run again, and the attempt failed
+  preempted,        // stopped to release capacity for other tasks
+  worker_lost,      // a member's lease expired
   gang_member_lost, // a member was not started, and the others were stopped
   failed
 };
 
 attempt_verdict judge_attempt(const task_record& task);
 
-// The final answer to a task whose attempt ended by `done`, `stopped`, and by one of the two
-// verdicts on tasks that may not run again.
+// These return the final answer to a task whose attempt ended with the verdict `done`, with
+// `stopped`, and with `run_unclear` or `failed_for_good`, in this order.
 answer done_answer(const task_record& task);
 answer stopped_answer(const task_record& task);
 answer not_again_answer(const task_record& task, attempt_verdict verdict);
--- a/Source/Core/Decision/DeclaredReplicas.h
+++ b/Source/Core/Decision/DeclaredReplicas.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The replicas of services that the declared state wants.
+// The service replicas that the configuration declares.
 
 #include <vector>
 
@@ -16,6 +16,6 @@
 using namespace common;
 
 bool is_declared_replica(const task_spec& spec, const cell_config& cell);
-// The tasks of all replicas whose home is this partition.
+// Returns the tasks of all declared replicas that belong to `partition`.
 std::vector<task_spec> replicas_homed_at(const partition_id& partition, const cell_config& cell);
 } // namespace yardhill::decision
--- a/Source/Core/Decision/DrainRate.cpp
+++ b/Source/Core/Decision/DrainRate.cpp
@@ -10,7 +10,7 @@
 constexpr double k_interval_smoothing = 0.1;
 } // namespace
 
-void drain_rate::passed(std::size_t started, std::size_t waiting, time_point now)
+void drain_rate::record_pass(std::size_t started, std::size_t waiting, time_point now)
 {
   if (waiting == 0)
   {
--- a/Source/Core/Decision/DrainRate.h
+++ b/Source/Core/Decision/DrainRate.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// How fast a queue drains, learned from the pace of starts while tasks wait.
+// Estimates how fast a queue drains from the rate of starts while tasks wait.
 
 #include <cstddef>
 
@@ -16,13 +16,15 @@
 class drain_rate
 {
 public:
-  // A pass started so many tasks and left so many waiting.
-  void passed(std::size_t started, std::size_t waiting, time_point now);
-  // How long a task with so many ahead of it waits for its start; 0 while no pace is known.
+  // Records a placement pass that started `started` tasks and left `waiting` tasks in the queue.
+  void record_pass(std::size_t started, std::size_t waiting, time_point now);
+  // Returns the expected wait of a task with `ahead` tasks before it; 0 while no rate is known.
   duration expected_wait(std::size_t ahead) const;
 
 private:
-  double m_start_interval_us = 0; // smoothed
-  time_point m_last_start{};      // of those while tasks waited; zero if there was none
+  double m_start_interval_us = 0; // exponentially smoothed
+  // Time of the last pass that started a task while others waited; zero if there was none since the
+  // queue was last empty.
+  time_point m_last_start{};
 };
 } // namespace yardhill::decision
--- a/Source/Core/Decision/PartitionScheduler.cpp
+++ b/Source/Core/Decision/PartitionScheduler.cpp
@@ -1,16 +1,16 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Taking tasks in, and the order in which things are done. Answers, records, runs, workers' news
-// and recovery are in the files beside this one.
+// Acceptance of tasks, timers and placement passes. Answers to callers, stored records, attempts,
+// worker reports and recovery are in the other PartitionScheduler*.cpp files.
 
 #include "Decision/PartitionScheduler.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "Decision/ComeBack.h"
 #include "Decision/DeclaredReplicas.h"
+#include "Decision/RetryAfter.h"
 
 namespace yardhill::decision
 {
@@ -76,11 +76,11 @@
 {
   if (task_record* known = m_tasks.find(spec.id))
   {
-    known->spec = spec; // a changed declaration takes effect at the replica's next start
+    known->spec = spec; // a changed configuration takes effect at the replica's next start
     return;
   }
   task_record& task = m_tasks.create(spec, now);
-  task.foreign = now < m_quarantine_until;
+  task.maybe_started_by_earlier_owner = now < m_quarantine_until;
   enqueue(task, now);
 }
 
@@ -118,30 +118,30 @@
 std::optional<answer> partition_scheduler::find_refusal(const task_spec& spec,
                                                         time_point /*now*/) const
 {
-  if (std::optional<answer> refusal = find_shape_refusal(spec))
+  if (std::optional<answer> refusal = find_demand_refusal(spec))
     return refusal;
   if (spec.durable() && spec.keyed && !m_records_complete)
     return unclear(spec.id, refusal_reason::records_incomplete,
                    "the table service has not told yet whether this key is known", "accept",
-                   k_store_come_back);
-  if (spec.keyed && m_right == placement_scope::local_only)
+                   k_store_retry_after);
+  if (spec.keyed && m_placement_scope == placement_scope::local_only)
     return unclear(spec.id, refusal_reason::no_owner,
                    "too few workers answer to rule out that another owner knows this key", "accept",
-                   k_store_come_back);
+                   k_store_retry_after);
   if (spec.durable() && m_store_down)
     return refuse(spec.id, refusal_reason::store_unavailable,
                   "the table service is down and this task must be kept in it", "accept",
-                  k_store_come_back);
+                  k_store_retry_after);
   return find_load_refusal(spec);
 }
 
-std::optional<answer> partition_scheduler::find_shape_refusal(const task_spec& spec) const
+std::optional<answer> partition_scheduler::find_demand_refusal(const task_spec& spec) const
 {
   if (const auto excess = m_pool.never_fits(spec.demand))
     return refuse(spec.id, refusal_reason::never_fits,
                   "no worker here has that many " + std::string(to_text(*excess)), "accept",
                   duration{0});
-  if (spec.members > 1 && m_pool.most_members(spec.demand) < spec.members)
+  if (spec.members > 1 && m_pool.max_members(spec.demand) < spec.members)
     return refuse(spec.id, refusal_reason::never_fits,
                   "the workers here cannot hold all members at once", "accept", duration{0});
   const team_config* team = m_cell.find_team(spec.team);
@@ -157,14 +157,14 @@
   const bool interactive = spec.kind == task_kind::interactive;
   const std::size_t ahead = interactive ? m_queue.size(task_kind::interactive) : m_queue.size();
   const std::size_t most = interactive ? m_options.most_queued_interactive : m_options.most_queued;
-  const duration wait = m_drain.expected_wait(ahead);
+  const duration wait = m_drain_rate.expected_wait(ahead);
   if (ahead >= most || m_tasks.size() - m_tasks.retained() >= m_options.most_queued * 2)
     return refuse(spec.id, refusal_reason::queue_full, "too many tasks wait here", "accept",
-                  std::clamp(wait, k_least_come_back, k_most_come_back));
+                  std::clamp(wait, k_min_retry_after, k_max_retry_after));
   if (interactive && spec.deadline > duration{0} && wait > spec.deadline)
     return refuse(spec.id, refusal_reason::deadline_too_near,
                   "those who wait already take longer than the deadline allows", "accept",
-                  std::clamp(wait - spec.deadline, k_least_come_back, k_most_come_back));
+                  std::clamp(wait - spec.deadline, k_min_retry_after, k_max_retry_after));
   return std::nullopt;
 }
 
@@ -173,9 +173,10 @@
 {
   task_record& task = m_tasks.create(spec, now);
   m_metrics.add(counter::tasks_accepted);
-  m_budget.first_try();
-  // A task that is kept in the table is known from there; only the others may be running unknown.
-  task.foreign = !fresh && !spec.durable() && now < m_quarantine_until;
+  m_budget.add_first_attempt();
+  // A durable task that an earlier owner accepted has a row in the table. Only a task without a row
+  // may be running on a worker without this owner knowing of it.
+  task.maybe_started_by_earlier_owner = !fresh && !spec.durable() && now < m_quarantine_until;
   task.waiters.push_back({from, spec.waits});
   if (task.due != k_never)
     add_timer(task.due, timer_kind::deadline, task);
@@ -192,7 +193,7 @@
 
 void partition_scheduler::enqueue(task_record& task, time_point now)
 {
-  if (task.foreign && now < m_quarantine_until)
+  if (task.maybe_started_by_earlier_owner && now < m_quarantine_until)
   {
     task.phase = task_phase::held;
     return;
@@ -202,19 +203,20 @@
     finish(task, stopped_while_waiting(task), now);
     return;
   }
-  task.foreign = false;
+  task.maybe_started_by_earlier_owner = false;
   task.phase = task_phase::queued;
   m_queue.insert(task);
   m_pass_due = true;
 }
 
-void partition_scheduler::leave_queue(task_record& task)
+void partition_scheduler::remove_from_queue(task_record& task)
 {
   if (task.phase == task_phase::queued)
     m_queue.remove(task);
 }
 
-void partition_scheduler::note(const task_record& task, std::string_view step, std::string detail)
+void partition_scheduler::log_task_event(const task_record& task, std::string_view step,
+                                         std::string detail)
 {
   m_output.notes.push_back({task.spec.id, step, std::move(detail)});
 }
@@ -241,8 +243,8 @@
   case timer_kind::lapse:
     for (std::size_t member = 0; member < task->members.size(); ++member)
     {
-      if (task->phase == task_phase::active && task->members[member].lapses <= now)
-        member_vanished(*task, member, now);
+      if (task->phase == task_phase::active && task->members[member].lease_end <= now)
+        member_lapsed(*task, member, now);
     }
     return;
   }
@@ -263,12 +265,12 @@
   if (!pass || !m_owned || m_placing_stopped)
     return;
   m_pass_due = false;
-  const pass_result result = m_pass.run(m_right, m_cell.interactive_headroom, now);
-  carry_out(result, now);
+  const pass_result result = m_pass.run(m_placement_scope, m_cell.interactive_headroom, now);
+  apply_pass_result(result, now);
   m_next_pass = m_queue.size() > 0 ? now + k_pass_period : k_never;
 }
 
-void partition_scheduler::carry_out(const pass_result& result, time_point now)
+void partition_scheduler::apply_pass_result(const pass_result& result, time_point now)
 {
   for (const placement& placed : result.placements)
     begin_attempt(*placed.task, placed.workers, now);
@@ -277,7 +279,7 @@
     m_metrics.add(counter::preemptions);
     stop_members(*victim, stop_cause::preempted, true);
   }
-  m_drain.passed(result.placements.size(), m_queue.size(), now);
+  m_drain_rate.record_pass(result.placements.size(), m_queue.size(), now);
 }
 
 time_point partition_scheduler::next_timer() const
@@ -303,7 +305,7 @@
     m_inboxes.settle(member.worker, task.spec.id);
 }
 
-void partition_scheduler::leave_active(const task_record& task)
+void partition_scheduler::decrement_active(const task_record& task)
 {
   if (task.phase == task_phase::active || task.phase == task_phase::intending)
     --m_active;
--- a/Source/Core/Decision/PartitionSchedulerAnswers.cpp
+++ b/Source/Core/Decision/PartitionSchedulerAnswers.cpp
@@ -1,17 +1,18 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Answering: what callers are told, when a task is over, cancelled, or past its deadline.
+// Answers to callers: status, cancellation, deadlines, and the final answer when a task ends.
 
 #include <algorithm>
 #include <utility>
 
-#include "Decision/ComeBack.h"
 #include "Decision/PartitionScheduler.h"
+#include "Decision/RetryAfter.h"
 
 namespace yardhill::decision
 {
-// The answer to a task that was cancelled, or whose deadline passed, while it could not be stopped.
+// Returns the final answer to a task that was cancelled, or whose deadline passed, in a phase in
+// which it could not be stopped.
 answer partition_scheduler::stopped_while_waiting(const task_record& task) const
 {
   const bool cancelled = task.stopping == stop_cause::cancelled;
@@ -21,7 +22,7 @@
              "stopped while it waited", "place", duration{0});
   if (cancelled)
     value.result = outcome::cancelled;
-  else if (task.may_have_run || task.foreign)
+  else if (task.may_have_run || task.maybe_started_by_earlier_owner)
     value.result = outcome::unknown;
   return value;
 }
@@ -58,7 +59,7 @@
   case task_phase::storing:
   case task_phase::held:
   case task_phase::intending:
-    task->stopping = stop_cause::cancelled; // takes effect at the next change of phase
+    task->stopping = stop_cause::cancelled; // takes effect when the task leaves this phase
     return;
   case task_phase::ended:
     return;
@@ -75,27 +76,27 @@
   }
   if (!m_records_complete)
   {
-    reply(from,
-          unclear(id, refusal_reason::records_incomplete,
-                  "the table service has not told yet what is known", "status", k_store_come_back));
+    reply(from, unclear(id, refusal_reason::records_incomplete,
+                        "the table service has not told yet what is known", "status",
+                        k_store_retry_after));
     return;
   }
   if (m_store_down)
   {
     reply(from, unclear(id, refusal_reason::store_unavailable,
                         "it is not in memory and the table service is down", "status",
-                        k_store_come_back));
+                        k_store_retry_after));
     return;
   }
-  // It may have ended long ago: the table remembers longer than this process.
-  std::vector<reply_address>& asking = m_finding[id];
-  asking.push_back(from);
-  if (asking.size() > 1)
+  // The task may have ended long ago: the table keeps tasks longer than this process does.
+  std::vector<reply_address>& requesters = m_pending_lookups[id];
+  requesters.push_back(from);
+  if (requesters.size() > 1)
     return;
-  record_write look;
-  look.change = record_change::find;
-  look.task.spec.id = id;
-  m_output.writes.push_back(std::move(look));
+  record_write lookup;
+  lookup.change = record_change::find;
+  lookup.task.spec.id = id;
+  m_output.writes.push_back(std::move(lookup));
 }
 
 answer partition_scheduler::current_answer(const task_record& task) const
@@ -114,7 +115,7 @@
 void partition_scheduler::reply(const reply_address& to, const answer& value)
 {
   if (to.peer.empty() && to.number == 0)
-    return; // asked for by the scheduler itself
+    return; // the scheduler itself made the request
   m_output.replies.push_back({to, value, false});
 }
 
@@ -134,8 +135,8 @@
 
 void partition_scheduler::finish(task_record& task, answer result, time_point now)
 {
-  leave_queue(task);
-  leave_active(task);
+  remove_from_queue(task);
+  decrement_active(task);
   task.phase = task_phase::ended;
   task.ended_at = now;
   result.task = task.spec.id;
@@ -143,7 +144,7 @@
   task.final_answer = std::move(result);
   const answer& final = *task.final_answer;
   m_metrics.add(final.result == outcome::done ? counter::tasks_done : counter::tasks_failed);
-  note(task, "end", std::string(to_text(final.result)));
+  log_task_event(task, "end", std::string(to_text(final.result)));
   reply_to_waiters(task, final);
   const bool retriable = final.result == outcome::refused;
   if (task.has_row)
@@ -154,7 +155,8 @@
     return;
   }
   settle_members(task);
-  // A refused task was not run: asked for again, it is a new one. Services come back by themselves.
+  // A refused task was not run, so a repeated request counts as a new task. Service replicas are
+  // created again from the configuration.
   if (retriable || task.spec.kind == task_kind::service)
     m_tasks.erase(task_id{task.spec.id});
   else
@@ -173,14 +175,14 @@
     finish(task,
            refuse(task.spec.id, refusal_reason::deadline_passed, "it found no place in time",
                   "place",
-                  std::clamp(m_drain.expected_wait(m_queue.size()), k_least_come_back,
-                             k_most_come_back)),
+                  std::clamp(m_drain_rate.expected_wait(m_queue.size()), k_min_retry_after,
+                             k_max_retry_after)),
            now);
     return;
   }
   reply_to_waiters(task, unclear(task.spec.id, refusal_reason::deadline_passed,
                                  "its deadline passed while it may have been running", "run",
-                                 k_least_come_back));
+                                 k_min_retry_after));
   if (task.phase == task_phase::active)
     stop_members(task, stop_cause::deadline, false);
   else if (task.phase == task_phase::queued || task.phase == task_phase::delayed)
--- a/Source/Core/Decision/PartitionSchedulerRecords.cpp
+++ b/Source/Core/Decision/PartitionSchedulerRecords.cpp
@@ -1,12 +1,12 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Records in the table service: writing them, and what follows from how a write went.
+// Task records in the table service: writes, and the handling of their results.
 
 #include <utility>
 
-#include "Decision/ComeBack.h"
 #include "Decision/PartitionScheduler.h"
+#include "Decision/RetryAfter.h"
 
 namespace yardhill::decision
 {
@@ -14,7 +14,7 @@
 {
   if (result.change == record_change::find)
   {
-    found(result);
+    lookup_answered(result);
     return;
   }
   task_record* task = m_tasks.find(result.task);
@@ -54,13 +54,13 @@
   {
   case record_write_status::written:
     task.has_row = true;
-    task.phase = task_phase::queued; // as the answer says it
+    task.phase = task_phase::queued; // so that the answer to the waiters reports "queued"
     reply_to_waiters(task, current_answer(task));
     enqueue(task, now);
     return;
   case record_write_status::exists:
     if (result.known)
-      take_known(task, *result.known, now);
+      adopt_stored_task(task, *result.known, now);
     else
       finish(task,
              unclear(task.spec.id, refusal_reason::records_incomplete,
@@ -70,14 +70,14 @@
   case record_write_status::not_written:
     finish(task,
            refuse(task.spec.id, refusal_reason::store_unavailable,
-                  "the table service did not take the task", "store", k_store_come_back),
+                  "the table service did not take the task", "store", k_store_retry_after),
            now);
     return;
   case record_write_status::unclear:
-    // The row may be there, and then the task will run once that is known.
+    // The row may have been written. In that case the task runs once the row is known.
     reply_to_waiters(task, unclear(task.spec.id, refusal_reason::store_unavailable,
                                    "the table service did not say whether it took the task",
-                                   "store", k_store_come_back));
+                                   "store", k_store_retry_after));
     task.waiters.clear();
     return;
   }
@@ -100,8 +100,9 @@
     conclude_attempt(task, now);
 }
 
-// The caller's key is known from the table: the earlier request is the one that counts.
-void partition_scheduler::take_known(task_record& task, const stored_task& known, time_point now)
+// The table already has a task with the caller's key: the earlier request takes precedence.
+void partition_scheduler::adopt_stored_task(task_record& task, const stored_task& known,
+                                            time_point now)
 {
   task.has_row = true;
   if (known.spec.workload != task.spec.workload || known.spec.payload != task.spec.payload)
@@ -118,7 +119,7 @@
     finish(task, *known.final_answer, now);
     return;
   }
-  task.foreign = true;
+  task.maybe_started_by_earlier_owner = true;
   enqueue(task, now);
   reply_to_waiters(task, current_answer(task));
 }
@@ -128,24 +129,24 @@
   m_output.writes.push_back({change, task.to_stored()});
 }
 
-void partition_scheduler::found(const record_write_result& result)
+void partition_scheduler::lookup_answered(const record_write_result& result)
 {
-  const auto asking = m_finding.find(result.task);
-  if (asking == m_finding.end())
+  const auto requesters = m_pending_lookups.find(result.task);
+  if (requesters == m_pending_lookups.end())
     return;
   answer value = refuse(result.task, refusal_reason::unknown_task, "no such task is known here",
                         "status", duration{0});
   if (result.status == record_write_status::unclear)
     value = unclear(result.task, refusal_reason::store_unavailable,
                     "it is not in memory and the table service did not answer", "status",
-                    k_store_come_back);
+                    k_store_retry_after);
   else if (result.known && result.known->final_answer)
     value = *result.known->final_answer;
   else if (result.known)
     value = unclear(result.task, refusal_reason::records_incomplete,
-                    "its record is being taken over", "status", k_store_come_back);
-  for (const reply_address& to : asking->second)
+                    "its record is being taken over", "status", k_store_retry_after);
+  for (const reply_address& to : requesters->second)
     reply(to, value);
-  m_finding.erase(asking);
+  m_pending_lookups.erase(requesters);
 }
 } // namespace yardhill::decision
--- a/Source/Core/Decision/PartitionSchedulerRecovery.cpp
+++ b/Source/Core/Decision/PartitionSchedulerRecovery.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Taking a partition over and giving it up: learning what runs from workers and the table.
+// Start and end of ownership of a partition, and recovery of its tasks from the workers' reports
+// and from the table.
 
 #include <algorithm>
 
@@ -13,7 +14,7 @@
 {
 namespace
 {
-// Nothing where the worker left the specification out, or where it cannot be read.
+// Returns nullopt if the worker left the specification out or if it cannot be parsed.
 std::optional<task_spec> read_spec(const std::string& text, const attempt_id& id)
 {
   if (text.empty())
@@ -53,19 +54,19 @@
             m_shares.ended(task.spec.team, task.members[member].granted);
         }
       });
-  for (const auto& [id, asking] : m_finding)
+  for (const auto& [id, requesters] : m_pending_lookups)
   {
-    for (const reply_address& to : asking)
+    for (const reply_address& to : requesters)
     {
       answer nothing;
       nothing.task = id;
       m_output.replies.push_back({to, nothing, true});
     }
   }
-  m_finding.clear();
+  m_pending_lookups.clear();
   m_owned = false;
   m_records_complete = false;
-  m_right = placement_scope::none;
+  m_placement_scope = placement_scope::none;
   m_active = 0;
   m_queue.clear();
   m_pool.clear_grants();
@@ -74,7 +75,8 @@
   m_inboxes.clear();
   m_shares = team_shares{};
   m_shares.configure(m_cell, m_pool.capacity());
-  // What was about to be sent is not; replies are still right.
+  // Pending starts, stops and writes must not be sent after the end of ownership. Pending replies
+  // are still correct.
   m_output.starts.clear();
   m_output.stops.clear();
   m_output.writes.clear();
@@ -95,7 +97,7 @@
         if (task.phase == task_phase::held)
           held.push_back(&task);
       });
-  // The table of records has no order of its own.
+  // The task table is unordered; sort by order of acceptance.
   std::ranges::sort(held, {}, &task_record::sequence);
   for (task_record* task : held)
   {
@@ -122,7 +124,7 @@
     task.attempt = stored.intent ? stored.intent->attempt : 0;
     if (task.due != k_never)
       add_timer(task.due, timer_kind::deadline, task);
-    task.foreign = stored.spec.repeatable || stored.intent.has_value();
+    task.maybe_started_by_earlier_owner = stored.spec.repeatable || stored.intent.has_value();
     if (task.intent)
     {
       task.phase = task_phase::held;
@@ -135,23 +137,25 @@
   }
 }
 
-// A task that may run only once, whose intent an earlier owner had written: its worker knows.
+// Decides about a task that may run only once and for which an earlier owner wrote an intent. Only
+// the worker named in the intent can tell whether the task was started.
 void partition_scheduler::resolve_intent(task_record& task, time_point now)
 {
   if (task.phase != task_phase::held || !task.intent)
     return;
   const std::optional<std::size_t> position = m_pool.position_of(task.intent->worker);
-  const bool answers = position && m_pool.at(*position).usable();
-  if (answers && m_pool.at(*position).boot() == task.intent->boot && task.spec.members == 1)
+  const bool worker_usable = position && m_pool.at(*position).usable();
+  if (worker_usable && m_pool.at(*position).boot() == task.intent->boot && task.spec.members == 1)
   {
-    // The claim at our term voided the earlier owner's tickets, and the worker neither runs it nor
-    // has it among what ended and was not acknowledged: it was never started and never will be.
+    // The claim for this term voided the earlier owner's tickets, and the worker reports the
+    // attempt neither as running nor among its ended, unacknowledged attempts. So the attempt was
+    // never started and never will be.
     task.intent.reset();
-    task.foreign = false;
+    task.maybe_started_by_earlier_owner = false;
     enqueue(task, now);
     return;
   }
-  if (!answers && now < m_quarantine_until)
+  if (!worker_usable && now < m_quarantine_until)
     return;
   finish(task,
          unclear(task.spec.id, refusal_reason::run_unclear,
@@ -171,9 +175,10 @@
     const bool same_attempt = task->phase == task_phase::active && task->attempt == id.attempt;
     if (same_attempt)
       return task;
-    if (!waiting || task->attempt > id.attempt || (!task->foreign && task->attempt > 0))
+    if (!waiting || task->attempt > id.attempt ||
+        (!task->maybe_started_by_earlier_owner && task->attempt > 0))
       return nullptr;
-    leave_queue(*task);
+    remove_from_queue(*task);
   }
   else
   {
@@ -184,7 +189,7 @@
     if (spec.kind == task_kind::service && !is_declared_replica(spec, m_cell))
       return nullptr;
     task = &m_tasks.create(spec, now);
-    task->has_row = task->spec.durable(); // written before it was ever started
+    task->has_row = task->spec.durable(); // a durable task's row is written before its first start
     if (task->due != k_never)
       add_timer(task->due, timer_kind::deadline, *task);
   }
@@ -194,11 +199,11 @@
   task->intent.reset();
   task->started_at = now;
   task->members.assign(task->spec.members, member_run{});
-  // Members that no worker names in time have ended without a trace.
+  // Members that no worker reports before the quarantine ends are treated as lost.
   for (member_run& member : task->members)
   {
     member.phase = member_phase::unclear;
-    member.lapses = std::max(now, m_quarantine_until);
+    member.lease_end = std::max(now, m_quarantine_until);
   }
   add_timer(std::max(now, m_quarantine_until), timer_kind::lapse, *task);
   ++m_active;
@@ -206,14 +211,14 @@
 }
 
 void partition_scheduler::adopt_running(const worker_id& worker, const running_attempt& running,
-                                        const claim_answer& news, time_point now)
+                                        const claim_answer& report, time_point now)
 {
   if (member_run* member = member_of(running.id, worker))
   {
     if (member->phase == member_phase::starting || member->phase == member_phase::unclear)
-      confirm_running(*m_tasks.find(running.id.task), running.id.member, news.moment, now);
+      confirm_running(*m_tasks.find(running.id.task), running.id.member, report.moment, now);
     else
-      stop_again(*m_tasks.find(running.id.task), running.id.member);
+      resend_stop(*m_tasks.find(running.id.task), running.id.member);
     return;
   }
   task_record* task = adopt_task(running.id, running.spec, now);
@@ -226,11 +231,11 @@
   }
   member_run& member = task->members[running.id.member];
   member.worker = worker;
-  member.boot = news.boot;
+  member.boot = report.boot;
   member.granted = task->spec.demand;
   m_pool.grant(*m_pool.position_of(worker), *task, running.id.member);
   m_shares.started(task->spec.team, member.granted);
-  confirm_running(*task, running.id.member, news.moment, now);
+  confirm_running(*task, running.id.member, report.moment, now);
 }
 
 void partition_scheduler::adopt_ended(const worker_id& worker, const ended_attempt& ended,
@@ -238,7 +243,7 @@
 {
   if (member_of(ended.id, worker) != nullptr)
   {
-    member_over(*m_tasks.find(ended.id.task), ended.id.member, ended, now);
+    member_ended(*m_tasks.find(ended.id.task), ended.id.member, ended, now);
     return;
   }
   task_record* known = m_tasks.find(ended.id.task);
@@ -247,7 +252,8 @@
                            known->attempt == ended.id.attempt && known->spec.members == 1;
   if (was_unclear && ended.result == attempt_result::done)
   {
-    // The worker is back and knows better.
+    // The worker answers again and reports that the attempt was done, so the unknown outcome is
+    // corrected.
     known->final_answer->result = outcome::done;
     known->final_answer->reason = refusal_reason::none;
     known->final_answer->body = ended.body;
@@ -264,12 +270,13 @@
                      task->members[ended.id.member].worker.empty();
   if (!taken)
   {
-    // The attempt of a task that ended otherwise, or of one that nobody here can name.
+    // The task has already ended in another way, the attempt is no longer current, or the task
+    // cannot be recovered from the report.
     m_inboxes.settle(worker, ended.id.task);
     return;
   }
   member_run& member = task->members[ended.id.member];
   member.worker = worker;
-  member_over(*task, ended.id.member, ended, now);
+  member_ended(*task, ended.id.member, ended, now);
 }
 } // namespace yardhill::decision
--- a/Source/Core/Decision/PartitionSchedulerRuns.cpp
+++ b/Source/Core/Decision/PartitionSchedulerRuns.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Attempts: starting them, following their members, and what comes after their end.
+// Attempts: starting them, tracking their members, and retrying or finishing the task afterwards.
 
 #include <algorithm>
 
@@ -14,10 +14,10 @@
 {
 namespace
 {
-constexpr duration k_refused_again = std::chrono::milliseconds{50};
-constexpr duration k_budget_come_back = std::chrono::seconds{5};
+constexpr duration k_start_refused_delay = std::chrono::milliseconds{50};
+constexpr duration k_budget_retry_after = std::chrono::seconds{5};
 
-timing waiting_of(task_kind kind)
+timing waiting_timing_of(task_kind kind)
 {
   return static_cast<timing>(static_cast<std::size_t>(timing::waiting_interactive) +
                              static_cast<std::size_t>(kind));
@@ -53,7 +53,8 @@
     const bool as_intended =
         !task.intent || task.spec.members > 1 ||
         (ledger.id() == task.intent->worker && ledger.boot() == task.intent->boot);
-    if (ledger.placeable() && as_intended && !m_placing_stopped && m_right != placement_scope::none)
+    if (ledger.placeable() && as_intended && !m_placing_stopped &&
+        m_placement_scope != placement_scope::none)
       continue;
     withdraw_attempt(task);
     retry(task, retry_reason::start_refused, false, now);
@@ -63,7 +64,7 @@
   task.started_at = now;
   m_metrics.add(counter::attempts_started);
   if (task.tries == 1)
-    m_metrics.record(waiting_of(task.spec.kind), now - task.accepted_at);
+    m_metrics.record(waiting_timing_of(task.spec.kind), now - task.accepted_at);
   const std::string spec_text = to_json_text(task.spec);
   for (std::size_t member = 0; member < task.members.size(); ++member)
   {
@@ -79,7 +80,7 @@
   }
 }
 
-// The attempt was granted but nothing of it was sent.
+// Releases an attempt's grants. The capacity was granted, but no start request was sent.
 void partition_scheduler::withdraw_attempt(task_record& task)
 {
   for (std::size_t member = 0; member < task.planned_workers.size(); ++member)
@@ -101,18 +102,19 @@
 }
 
 void partition_scheduler::confirm_running(task_record& task, std::size_t member,
-                                          std::uint64_t moment, time_point /*now*/)
+                                          std::uint64_t change_count, time_point /*now*/)
 {
   member_run& run = task.members[member];
   run.phase = member_phase::running;
-  run.started_moment = moment;
-  run.lapses = k_never;
+  run.started_change_count = change_count;
+  run.lease_end = k_never;
   task.may_have_run = true;
-  stop_again(task, member);
+  resend_stop(task, member);
 }
 
-// A stop that was lost, or that came before the start was known to have been taken.
-void partition_scheduler::stop_again(const task_record& task, std::size_t member)
+// Sends the stop request again: the earlier one was lost, or was sent before the worker was known
+// to have accepted the start.
+void partition_scheduler::resend_stop(const task_record& task, std::size_t member)
 {
   if (task.stopping == stop_cause::none)
     return;
@@ -130,10 +132,10 @@
   if (position && refusal == start_refusal::leaving)
     m_pool.at(*position).set_leaving();
   if (position)
-    m_pool.at(*position).circuit().probe_void();
+    m_pool.at(*position).circuit().probe_inconclusive();
   if (task.members.size() > 1 && task.stopping == stop_cause::none)
     stop_members(task, stop_cause::member_lost, false);
-  if (task.all_members_over())
+  if (task.all_members_ended())
     conclude_attempt(task, now);
 }
 
@@ -147,29 +149,30 @@
   m_pass_due = true;
 }
 
-void partition_scheduler::member_over(task_record& task, std::size_t member,
-                                      const ended_attempt& end, time_point now)
+void partition_scheduler::member_ended(task_record& task, std::size_t member,
+                                       const ended_attempt& end, time_point now)
 {
   member_run& run = task.members[member];
   if (run.phase == member_phase::over)
-    return; // told twice
+    return; // the worker reported the end before
   run.phase = member_phase::over;
   run.result = end.result;
   run.body = end.body;
   run.ran = end.ran;
   task.may_have_run = true;
   release_member(task, member);
-  judge_worker(task, run, now);
+  update_circuit(task, run, now);
   if (end.result == attempt_result::done && task.spec.kind != task_kind::service)
     m_estimator.observed(task.spec.workload, end.ran);
   if (end.result != attempt_result::done && task.stopping == stop_cause::none &&
-      !task.all_members_over())
+      !task.all_members_ended())
     stop_members(task, stop_cause::member_lost, false);
-  if (task.all_members_over())
+  if (task.all_members_ended())
     conclude_attempt(task, now);
 }
 
-void partition_scheduler::judge_worker(task_record& task, const member_run& member, time_point now)
+void partition_scheduler::update_circuit(task_record& task, const member_run& member,
+                                         time_point now)
 {
   const std::optional<std::size_t> position = m_pool.position_of(member.worker);
   if (!position)
@@ -185,21 +188,24 @@
     if (ledger.circuit().failed(task.spec.workload, now))
     {
       m_metrics.add(counter::circuits_opened);
-      note(task, "circuit", "worker " + member.worker.value + " fails what it starts");
+      log_task_event(task, "circuit",
+                     "worker " + member.worker.value +
+                         " fails consecutive attempts; circuit opened");
     }
     break;
   case attempt_result::stopped:
   case attempt_result::checkpointed:
   case attempt_result::lapsed:
   case attempt_result::count:
-    ledger.circuit().probe_void();
+    ledger.circuit().probe_inconclusive();
     break;
   }
   ledger.refresh(now);
 }
 
-// No word will come any more: the worker rebooted, or its lease on the task has run out.
-void partition_scheduler::member_vanished(task_record& task, std::size_t member, time_point now)
+// Treats a member as lost. No report on it will come: the worker restarted, no longer has the
+// attempt, or the lease on the attempt has expired.
+void partition_scheduler::member_lapsed(task_record& task, std::size_t member, time_point now)
 {
   member_run& run = task.members[member];
   if (run.phase == member_phase::over || run.phase == member_phase::idle)
@@ -209,11 +215,11 @@
   run.lost = true;
   task.may_have_run = true;
   if (const std::optional<std::size_t> position = m_pool.position_of(run.worker))
-    m_pool.at(*position).circuit().probe_void();
+    m_pool.at(*position).circuit().probe_inconclusive();
   release_member(task, member);
-  if (task.stopping == stop_cause::none && !task.all_members_over())
+  if (task.stopping == stop_cause::none && !task.all_members_ended())
     stop_members(task, stop_cause::member_lost, false);
-  if (task.all_members_over())
+  if (task.all_members_ended())
     conclude_attempt(task, now);
 }
 
@@ -223,7 +229,7 @@
   for (std::size_t member = 0; member < task.members.size(); ++member)
   {
     const member_run& run = task.members[member];
-    // An adopted gang's member may be at a worker that has not told yet.
+    // A member of an adopted gang may be on a worker that has not reported yet.
     const bool alive = run.phase != member_phase::over && run.phase != member_phase::idle;
     if (alive && !run.worker.empty())
       m_output.stops.push_back({run.worker, task.id_of_member(member), checkpoint});
@@ -240,7 +246,7 @@
     return;
   case attempt_verdict::stopped:
     if (is_declared_replica(task.spec, m_cell))
-      retry(task, retry_reason::preempted, false, now); // declared again while it was stopping
+      retry(task, retry_reason::preempted, false, now); // configured again while it was stopping
     else
       finish(task, stopped_answer(task), now);
     return;
@@ -266,7 +272,8 @@
   }
 }
 
-// Puts the task back in line. `counts` says whether the try uses up one of its attempts.
+// Schedules another attempt, or ends the task if its attempts or the retry budget are used up.
+// `counts` is true if the failed attempt counts against the task's max_attempts.
 void partition_scheduler::retry(task_record& task, retry_reason why, bool counts, time_point now)
 {
   const bool service = task.spec.kind == task_kind::service;
@@ -275,9 +282,9 @@
     fail_for_good(task, now);
     return;
   }
-  leave_active(task);
+  decrement_active(task);
   m_metrics.add(why);
-  note(task, "retry", std::string(to_text(why)));
+  log_task_event(task, "retry", std::string(to_text(why)));
   settle_members(task);
   if (counts)
     ++task.failures;
@@ -287,27 +294,28 @@
   if (why == retry_reason::preempted)
     enqueue(task, now);
   else if (const std::optional<duration> delay = retry_delay(task, why))
-    add_timer(now + spread_out(*delay, task.spec.id, task.attempt), timer_kind::retry, task);
+    add_timer(now + with_jitter(*delay, task.spec.id, task.attempt), timer_kind::retry, task);
   else
-    refuse_retry(task, now);
+    fail_without_retry(task, now);
 }
 
-// Nothing where the budget of retries is used up and a caller waits for the result.
+// Returns nullopt if the retry budget is used up and a caller waits for the result of an
+// interactive task.
 std::optional<duration> partition_scheduler::retry_delay(const task_record& task, retry_reason why)
 {
   if (why == retry_reason::start_refused)
-    return k_refused_again;
-  if (m_budget.take())
+    return k_start_refused_delay;
+  if (m_budget.try_spend())
     return backoff_after(task.failures, m_options);
   if (task.spec.waits && task.spec.kind == task_kind::interactive)
     return std::nullopt;
   return m_options.retry_most;
 }
 
-void partition_scheduler::refuse_retry(task_record& task, time_point now)
+void partition_scheduler::fail_without_retry(task_record& task, time_point now)
 {
   answer failed = refuse(task.spec.id, refusal_reason::attempts_exhausted,
-                         "too many tasks are being tried again", "run", k_budget_come_back);
+                         "too many tasks are being tried again", "run", k_budget_retry_after);
   failed.result = outcome::failed;
   finish(task, std::move(failed), now);
 }
--- a/Source/Core/Decision/PartitionSchedulerWorkers.cpp
+++ b/Source/Core/Decision/PartitionSchedulerWorkers.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What workers tell: answers to starts, news of what runs and what ended, and silence.
+// Reports from workers: answers to start requests, running and ended attempts, and workers that do
+// not answer.
 
 #include <algorithm>
 
@@ -25,7 +26,7 @@
     }
     task_record& task = *m_tasks.find(result.id.task);
     if (result.refusal == start_refusal::already_ran)
-      continue; // sent twice below us; the worker's next news tell how it went
+      continue; // the transport sent the request twice; the worker's next report has the outcome
     if (result.refusal == start_refusal::none)
       confirm_running(task, result.id.member, results.moment, now);
     else
@@ -57,32 +58,34 @@
   }
 }
 
-void partition_scheduler::worker_reported(const worker_id& worker, const claim_answer& news,
-                                          bool voided, time_point now)
+void partition_scheduler::worker_reported(const worker_id& worker, const claim_answer& report,
+                                          bool tickets_voided, time_point now)
 {
   const std::optional<std::size_t> position = m_pool.position_of(worker);
   if (!position || !m_owned)
     return;
   worker_ledger& ledger = m_pool.at(*position);
   const bool was_placeable = ledger.placeable();
-  ledger.set_usable(true, news.leaving, news.boot);
-  ledger.set_measured(news.used);
+  ledger.set_usable(true, report.leaving, report.boot);
+  ledger.set_measured(report.used);
   m_pass_due = m_pass_due || ledger.placeable() != was_placeable;
 
-  m_inboxes.set_boot(worker, news.boot);
-  for (const ended_attempt& ended : news.ended)
+  m_inboxes.set_boot(worker, report.boot);
+  for (const ended_attempt& ended : report.ended)
   {
-    if (m_inboxes.take(worker, ended))
+    if (m_inboxes.record_ended(worker, ended))
       adopt_ended(worker, ended, now);
   }
-  for (const running_attempt& running : news.running)
-    adopt_running(worker, running, news, now);
-  check_silent_members(worker, news, voided, now);
+  for (const running_attempt& running : report.running)
+    adopt_running(worker, running, report, now);
+  check_unreported_members(worker, report, tickets_voided, now);
 }
 
-// Members believed to be on the worker that its news do not name.
-void partition_scheduler::check_silent_members(const worker_id& worker, const claim_answer& news,
-                                               bool voided, time_point now)
+// Checks the members placed on the worker against its report, to detect those that it does not
+// name.
+void partition_scheduler::check_unreported_members(const worker_id& worker,
+                                                   const claim_answer& report, bool tickets_voided,
+                                                   time_point now)
 {
   const std::size_t position = *m_pool.position_of(worker);
   const std::vector<placed_member> placed = m_pool.placed_on(position);
@@ -93,18 +96,19 @@
       continue;
     member_run& run = task.members[entry.member];
     const attempt_id id = task.id_of_member(entry.member);
-    const bool rebooted = run.boot != news.boot;
-    const bool forgotten = run.phase == member_phase::running && news.moment >= run.started_moment;
-    if (std::ranges::find(news.running, id, &running_attempt::id) != news.running.end())
-      run.lapses = k_never;
-    else if (rebooted || forgotten)
-      member_vanished(task, entry.member, now);
-    else if (run.phase == member_phase::unclear && voided)
+    const bool restarted = run.boot != report.boot;
+    const bool forgotten =
+        run.phase == member_phase::running && report.moment >= run.started_change_count;
+    if (std::ranges::find(report.running, id, &running_attempt::id) != report.running.end())
+      run.lease_end = k_never;
+    else if (restarted || forgotten)
+      member_lapsed(task, entry.member, now);
+    else if (run.phase == member_phase::unclear && tickets_voided)
       member_not_started(task, entry.member, start_refusal::old_ticket, now);
   }
 }
 
-void partition_scheduler::worker_lost(const worker_id& worker, time_point lapses, time_point now)
+void partition_scheduler::worker_lost(const worker_id& worker, time_point lease_end, time_point now)
 {
   const std::optional<std::size_t> position = m_pool.position_of(worker);
   if (!position)
@@ -116,8 +120,8 @@
     task_record& task = *entry.task;
     if (task.phase != task_phase::active || entry.member >= task.members.size())
       continue;
-    task.members[entry.member].lapses = std::max(lapses, now);
-    add_timer(std::max(lapses, now), timer_kind::lapse, task);
+    task.members[entry.member].lease_end = std::max(lease_end, now);
+    add_timer(std::max(lease_end, now), timer_kind::lapse, task);
   }
 }
 } // namespace yardhill::decision
--- a/Source/Core/Decision/PlacementPass.cpp
+++ b/Source/Core/Decision/PlacementPass.cpp
@@ -9,7 +9,7 @@
 {
 namespace
 {
-constexpr duration k_preempt_again = std::chrono::seconds{2};
+constexpr duration k_preemption_interval = std::chrono::seconds{2};
 
 bool is_urgent(const task_record& task)
 {
@@ -29,20 +29,20 @@
 {
 }
 
-pass_result placement_pass::run(placement_scope right, double headroom, time_point now)
+pass_result placement_pass::run(placement_scope scope, double headroom, time_point now)
 {
   pass_result result;
-  if (right == placement_scope::none || m_queue.size() == 0)
+  if (scope == placement_scope::none || m_queue.size() == 0)
     return result;
-  m_right = right;
+  m_placement_scope = scope;
   m_now = now;
   m_pool.refresh_circuits(now);
-  m_room_left = m_pool.total_room();
+  m_free_capacity_left = m_pool.total_free_capacity();
   m_headroom = m_options.keep_headroom ? scaled(m_pool.live_capacity(), headroom) : resources{};
   m_headroom.accelerators = 0;
-  m_failed.clear();
-  m_scanned = 0;
-  m_reserved_from = k_never;
+  m_unplaceable_demands.clear();
+  m_unplaced_scanned = 0;
+  m_gang_reservation_start = k_never;
   if (m_policy.first_in_first_out)
   {
     place_in_order(result);
@@ -57,10 +57,10 @@
 void placement_pass::place_kind(task_kind kind, pass_result& result)
 {
   std::vector<cursor> cursors;
-  for (auto& [team, line] : m_queue.of_kind(kind))
-    cursors.push_back({&line, line.begin()});
-  m_scanned = 0;
-  while (m_scanned < m_options.most_scanned)
+  for (auto& [team, team_queue] : m_queue.of_kind(kind))
+    cursors.push_back({&team_queue, team_queue.begin()});
+  m_unplaced_scanned = 0;
+  while (m_unplaced_scanned < m_options.most_scanned)
   {
     cursor* chosen = next_cursor(cursors);
     if (chosen == nullptr)
@@ -68,16 +68,16 @@
     task_record& task = *chosen->next->second;
     if (try_place(task, result))
     {
-      // The line itself goes away with its last task, so step over it before removing.
-      const bool last = chosen->line->size() == 1;
+      // Removing a team's last task destroys the team's queue, so advance the cursor first.
+      const bool last = chosen->team_queue->size() == 1;
       ++chosen->next;
       if (last)
-        chosen->line = nullptr;
+        chosen->team_queue = nullptr;
       m_queue.remove(task);
       continue;
     }
-    ++m_scanned;
-    could_not_place(task, result);
+    ++m_unplaced_scanned;
+    handle_unplaced(task, result);
     ++chosen->next;
   }
 }
@@ -87,7 +87,7 @@
   cursor* best = nullptr;
   for (cursor& candidate : cursors)
   {
-    if (candidate.line == nullptr || candidate.next == candidate.line->end())
+    if (candidate.team_queue == nullptr || candidate.next == candidate.team_queue->end())
       continue;
     if (best == nullptr || before(*candidate.next->second, *best->next->second))
       best = &candidate;
@@ -106,7 +106,8 @@
   return left.sequence < right.sequence;
 }
 
-// The baselines' way: strictly by arrival, and the first that does not fit blocks all behind it.
+// Order of the baseline policies: strictly by arrival; the first task that does not fit blocks all
+// tasks behind it.
 void placement_pass::place_in_order(pass_result& result)
 {
   while (m_queue.size() > 0)
@@ -114,9 +115,9 @@
     task_record* first = nullptr;
     for (std::size_t kind = 0; kind < static_cast<std::size_t>(task_kind::count); ++kind)
     {
-      for (auto& [team, line] : m_queue.of_kind(static_cast<task_kind>(kind)))
+      for (auto& [team, team_queue] : m_queue.of_kind(static_cast<task_kind>(kind)))
       {
-        task_record* head = line.begin()->second;
+        task_record* head = team_queue.begin()->second;
         if (first == nullptr || head->sequence < first->sequence)
           first = head;
       }
@@ -129,13 +130,14 @@
 
 bool placement_pass::try_place(task_record& task, pass_result& result)
 {
-  if (!allowed(task) || known_not_to_fit(task) || !leaves_headroom(task) || delays_reserved(task))
+  if (!in_scope(task) || exceeds_unplaceable_demand(task) || !leaves_headroom(task) ||
+      delays_reserved(task))
     return false;
   std::optional<std::vector<std::size_t>> workers = m_pool.plan(task);
   if (!workers)
   {
     if (task.spec.members == 1)
-      m_failed.push_back(task.spec.demand);
+      m_unplaceable_demands.push_back(task.spec.demand);
     return false;
   }
   for (std::size_t member = 0; member < workers->size(); ++member)
@@ -143,23 +145,23 @@
     m_pool.grant((*workers)[member], task, member);
     m_pool.at((*workers)[member]).refresh(m_now);
     m_shares.started(task.spec.team, task.spec.demand);
-    m_room_left -= task.spec.demand;
+    m_free_capacity_left -= task.spec.demand;
   }
   result.placements.push_back({&task, std::move(*workers)});
   return true;
 }
 
-bool placement_pass::allowed(const task_record& task) const
+bool placement_pass::in_scope(const task_record& task) const
 {
-  if (m_right == placement_scope::all)
+  if (m_placement_scope == placement_scope::all)
     return true;
   return !task.spec.keyed && !task.spec.durable() && task.spec.kind != task_kind::service &&
          !task.may_have_run;
 }
 
-bool placement_pass::known_not_to_fit(const task_record& task) const
+bool placement_pass::exceeds_unplaceable_demand(const task_record& task) const
 {
-  return std::ranges::any_of(m_failed, [&task](const resources& failed)
+  return std::ranges::any_of(m_unplaceable_demands, [&task](const resources& failed)
                              { return failed.fits_in(task.spec.demand); });
 }
 
@@ -168,23 +170,26 @@
   if (task.spec.kind == task_kind::interactive)
     return true;
   const resources taken = scaled(task.spec.demand, task.spec.members);
-  return m_headroom.fits_in(m_room_left - taken);
+  return m_headroom.fits_in(m_free_capacity_left - taken);
 }
 
-// Backfilling: work that would still run when the waiting gang is expected to fit must wait.
+// Backfilling: a batch task that is expected to run beyond the time at which the waiting gang fits
+// must wait.
 bool placement_pass::delays_reserved(const task_record& task) const
 {
-  if (m_reserved_from == k_never || task.spec.kind != task_kind::batch)
+  if (m_gang_reservation_start == k_never || task.spec.kind != task_kind::batch)
     return false;
-  return m_now + m_estimator.estimate(task.spec.workload, task.spec.expected_run) > m_reserved_from;
+  return m_now + m_estimator.estimate(task.spec.workload, task.spec.expected_run) >
+         m_gang_reservation_start;
 }
 
-void placement_pass::could_not_place(task_record& task, pass_result& result)
+void placement_pass::handle_unplaced(task_record& task, pass_result& result)
 {
-  if (!allowed(task))
+  if (!in_scope(task))
     return;
-  const bool patient = m_now - task.accepted_at < m_options.gang_patience;
-  if (task.spec.kind == task_kind::gang && !patient && m_reserved_from == k_never)
+  const bool reservation_not_due = m_now - task.accepted_at < m_options.gang_patience;
+  if (task.spec.kind == task_kind::gang && !reservation_not_due &&
+      m_gang_reservation_start == k_never)
     reserve_for(task);
   if (m_options.preempt && may_preempt(task))
     choose_victims(task, result);
@@ -199,12 +204,12 @@
     resources demand;
   };
   std::vector<release_event> releases;
-  std::vector<resources> rooms;
+  std::vector<resources> free_capacities;
   std::uint64_t fitting = 0;
   for (std::size_t position = 0; position < m_pool.size(); ++position)
   {
-    rooms.push_back(m_pool.at(position).room());
-    fitting += members_in(task.spec.demand, rooms.back());
+    free_capacities.push_back(m_pool.at(position).room());
+    fitting += members_fitting_in(task.spec.demand, free_capacities.back());
     for (const placed_member& placed : m_pool.placed_on(position))
     {
       if (placed.task->spec.kind == task_kind::service)
@@ -217,11 +222,11 @@
   std::ranges::sort(releases, {}, &release_event::at);
   for (const release_event& release : releases)
   {
-    resources& room = rooms[release.position];
-    fitting -= members_in(task.spec.demand, room);
-    room += release.demand;
-    fitting += members_in(task.spec.demand, room);
-    m_reserved_from = release.at;
+    resources& free_capacity = free_capacities[release.position];
+    fitting -= members_fitting_in(task.spec.demand, free_capacity);
+    free_capacity += release.demand;
+    fitting += members_fitting_in(task.spec.demand, free_capacity);
+    m_gang_reservation_start = release.at;
     if (fitting >= task.spec.members)
       return;
   }
@@ -229,7 +234,7 @@
 
 bool placement_pass::may_preempt(const task_record& task) const
 {
-  if (task.spec.members > 1 || m_now < task.preempted_for_at + k_preempt_again)
+  if (task.spec.members > 1 || m_now < task.last_preemption_at + k_preemption_interval)
     return false;
   return task.spec.kind == task_kind::interactive || is_urgent(task) ||
          (task.spec.kind == task_kind::batch && m_shares.ratio(task.spec.team) < 1.0);
@@ -245,7 +250,7 @@
     return true;
   if (is_urgent(task))
     return victim.spec.priority <= task.spec.priority - k_urgent_priority;
-  return victim.spec.team != task.spec.team && m_shares.borrows(victim.spec.team) &&
+  return victim.spec.team != task.spec.team && m_shares.exceeds_entitlement(victim.spec.team) &&
          !is_urgent(victim);
 }
 
@@ -262,7 +267,7 @@
   }
   if (best.empty())
     return;
-  task.preempted_for_at = m_now;
+  task.last_preemption_at = m_now;
   for (task_record* victim : best)
   {
     if (std::ranges::find(result.victims, victim) == result.victims.end())
@@ -270,7 +275,8 @@
   }
 }
 
-// The latest started victims whose end would make room; empty when it would not suffice.
+// Returns the most recently started victims on the worker whose preemption releases enough capacity
+// for the task; empty if preempting all of them would not suffice.
 std::vector<task_record*> placement_pass::victims_on(std::size_t position,
                                                      const task_record& task) const
 {
@@ -287,13 +293,13 @@
                         return left.task->started_at > right.task->started_at;
                       return left.task->sequence > right.task->sequence;
                     });
-  resources room = m_pool.at(position).room();
+  resources free_capacity = m_pool.at(position).room();
   std::vector<task_record*> victims;
   for (const placed_member& candidate : candidates)
   {
-    room += candidate.demand;
+    free_capacity += candidate.demand;
     victims.push_back(candidate.task);
-    if (task.spec.demand.fits_in(room))
+    if (task.spec.demand.fits_in(free_capacity))
       return victims;
   }
   return {};
--- a/Source/Core/Decision/PlacementPass.h
+++ b/Source/Core/Decision/PlacementPass.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// One pass over the waiting tasks: who gets a place now, and who must make room.
+// One pass over the waiting tasks: selects the tasks to place now and the tasks to preempt.
 
 #include <optional>
 #include <vector>
@@ -16,11 +16,11 @@
 
 namespace yardhill::decision
 {
-// What an owner may place, by what it knows of its standing at the workers.
+// Which tasks an owner may place, depending on how many workers currently accept its claims.
 enum class placement_scope
 {
   none,
-  local_only, // only tasks that no other owner can know of
+  local_only, // only tasks that no other owner can know
   all
 };
 
@@ -32,11 +32,12 @@
 
 struct pass_result
 {
-  std::vector<placement> placements; // granted, and taken out of the queue
+  std::vector<placement> placements; // capacity is granted; the tasks are out of the queue
   std::vector<task_record*> victims; // to be checkpointed and stopped
 };
 
-// Work at or above this priority may preempt batch work that is this much below it.
+// A task with at least this priority may preempt batch tasks whose priority is lower by at least
+// this value.
 inline constexpr std::int32_t k_urgent_priority = 100;
 
 class placement_pass
@@ -46,13 +47,13 @@
                  worker_pool& pool, waiting_queue& queue, team_shares& shares,
                  const run_estimator& estimator);
 
-  pass_result run(placement_scope right, double headroom, time_point now);
+  pass_result run(placement_scope scope, double headroom, time_point now);
 
 private:
   struct cursor
   {
-    waiting_queue::line* line;
-    waiting_queue::line::iterator next;
+    waiting_queue::team_queue* team_queue;
+    waiting_queue::team_queue::iterator next;
   };
 
   void place_kind(task_kind kind, pass_result& result);
@@ -60,11 +61,11 @@
   cursor* next_cursor(std::vector<cursor>& cursors) const;
   bool before(const task_record& left, const task_record& right) const;
   bool try_place(task_record& task, pass_result& result);
-  bool allowed(const task_record& task) const;
-  bool known_not_to_fit(const task_record& task) const;
+  bool in_scope(const task_record& task) const;
+  bool exceeds_unplaceable_demand(const task_record& task) const;
   bool leaves_headroom(const task_record& task) const;
   bool delays_reserved(const task_record& task) const;
-  void could_not_place(task_record& task, pass_result& result);
+  void handle_unplaced(task_record& task, pass_result& result);
   void reserve_for(const task_record& task);
   bool may_preempt(const task_record& task) const;
   bool is_victim_for(const task_record& victim, const task_record& task) const;
@@ -78,13 +79,14 @@
   team_shares& m_shares;
   const run_estimator& m_estimator;
 
-  // State of the pass that runs.
-  placement_scope m_right = placement_scope::none;
+  // State of the current pass.
+  placement_scope m_placement_scope = placement_scope::none;
   time_point m_now;
-  resources m_room_left;           // over all workers
-  resources m_headroom;            // kept for interactive work
-  std::vector<resources> m_failed; // demands that found no worker
-  std::size_t m_scanned = 0;
-  time_point m_reserved_from = k_never; // when the longest waiting gang is expected to fit
+  resources m_free_capacity_left;               // over all workers
+  resources m_headroom;                         // kept free for interactive tasks
+  std::vector<resources> m_unplaceable_demands; // demands that fit on no worker
+  std::size_t m_unplaced_scanned = 0;
+  // When the first gang that has waited longer than gang_patience is expected to fit.
+  time_point m_gang_reservation_start = k_never;
 };
 } // namespace yardhill::decision
--- a/Source/Core/Decision/PlacementStrategy.cpp
+++ b/Source/Core/Decision/PlacementStrategy.cpp
@@ -9,10 +9,10 @@
 {
 namespace
 {
-// The part of the worker that stays free, counted in its scarcest dimension.
+// Returns the fraction of the worker that stays free in its scarcest dimension.
 double scarcest_left(const placement_candidate& candidate)
 {
-  const resources left = candidate.room - candidate.demand;
+  const resources left = candidate.free_capacity - candidate.demand;
   const auto part = [](std::int64_t free, std::int64_t all)
   { return all > 0 ? static_cast<double>(free) / static_cast<double>(all) : 1.0; };
   return std::min({part(left.cpu_millis, candidate.capacity.cpu_millis),
@@ -20,17 +20,19 @@
                    part(left.slots, candidate.capacity.slots)});
 }
 
-// Accelerators are kept for those who ask for them.
-double spared_accelerators(const placement_candidate& candidate)
+// Penalizes workers with free accelerators for tasks that need none.
+double wasted_accelerators(const placement_candidate& candidate)
 {
-  const bool wasted = candidate.demand.accelerators == 0 && candidate.room.accelerators > 0;
+  const bool wasted =
+      candidate.demand.accelerators == 0 && candidate.free_capacity.accelerators > 0;
   return wasted ? 1.0 : 0.0;
 }
 
-// How unequal the free parts are: a worker with processors but no memory left is of little use.
+// Returns the difference between the free fractions of processors and memory. A worker with free
+// processors but no free memory is of little use.
 double imbalance(const placement_candidate& candidate)
 {
-  const resources left = candidate.room - candidate.demand;
+  const resources left = candidate.free_capacity - candidate.demand;
   const double cpu = static_cast<double>(left.cpu_millis) /
                      static_cast<double>(std::max<std::int64_t>(1, candidate.capacity.cpu_millis));
   const double memory =
@@ -41,15 +43,15 @@
 
 double pack(const placement_candidate& candidate)
 {
-  return -scarcest_left(candidate) - imbalance(candidate) - spared_accelerators(candidate);
+  return -scarcest_left(candidate) - imbalance(candidate) - wasted_accelerators(candidate);
 }
 
 double spread(const placement_candidate& candidate)
 {
   constexpr double rack_weight = 100.0;
   constexpr double worker_weight = 10.0;
-  return pack(candidate) - rack_weight * candidate.same_on_rack -
-         worker_weight * candidate.same_on_worker;
+  return pack(candidate) - rack_weight * candidate.colocated_on_rack -
+         worker_weight * candidate.colocated_on_worker;
 }
 
 double least_loaded(const placement_candidate& candidate)
--- a/Source/Core/Decision/RetryBudget.h
+++ b/Source/Core/Decision/RetryBudget.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Bounds retries to a fraction of first tries, so that an outage does not multiply the load.
+// Limits retries to a fraction of first attempts, so that an outage does not multiply the load.
 
 #include <algorithm>
 
@@ -12,12 +12,18 @@
 class retry_budget
 {
 public:
-  explicit retry_budget(double per_first_try) : m_per_first_try(per_first_try) {}
+  explicit retry_budget(double tokens_per_first_attempt)
+      : m_tokens_per_first_attempt(tokens_per_first_attempt)
+  {
+  }
 
-  void first_try() { m_tokens = std::min(k_most_tokens, m_tokens + m_per_first_try); }
+  void add_first_attempt()
+  {
+    m_tokens = std::min(k_max_tokens, m_tokens + m_tokens_per_first_attempt);
+  }
 
-  // Takes one retry out of the budget; false when it is used up.
-  bool take()
+  // Takes one retry out of the budget. Returns false if the budget is used up.
+  bool try_spend()
   {
     if (m_tokens < 1.0)
       return false;
@@ -26,9 +32,9 @@
   }
 
 private:
-  static constexpr double k_most_tokens = 100.0;
+  static constexpr double k_max_tokens = 100.0;
 
-  double m_per_first_try;
-  double m_tokens = k_most_tokens;
+  double m_tokens_per_first_attempt;
+  double m_tokens = k_max_tokens;
 };
 } // namespace yardhill::decision
--- a/Source/Core/Decision/RetryDelay.cpp
+++ b/Source/Core/Decision/RetryDelay.cpp
@@ -10,20 +10,20 @@
 {
 namespace
 {
-constexpr std::uint32_t k_most_doublings = 8;
-constexpr std::uint64_t k_spread_steps = 1000;
+constexpr std::uint32_t k_max_doublings = 8;
+constexpr std::uint64_t k_jitter_steps = 1000;
 } // namespace
 
 duration backoff_after(std::uint32_t failures, const scheduling_options& options)
 {
-  return backoff{options.retry_first, options.retry_most, k_most_doublings}.after(failures);
+  return backoff{options.retry_first, options.retry_most, k_max_doublings}.after(failures);
 }
 
-duration spread_out(duration delay, const task_id& task, attempt_number attempt)
+duration with_jitter(duration delay, const task_id& task, attempt_number attempt)
 {
-  const std::uint64_t step = stable_hash(task.value, attempt) % k_spread_steps;
+  const std::uint64_t step = stable_hash(task.value, attempt) % k_jitter_steps;
   const double factor =
-      0.75 + 0.5 * static_cast<double>(step) / static_cast<double>(k_spread_steps);
+      0.75 + 0.5 * static_cast<double>(step) / static_cast<double>(k_jitter_steps);
   return duration{static_cast<duration::rep>(static_cast<double>(delay.count()) * factor)};
 }
 } // namespace yardhill::decision
--- a/Source/Core/Decision/RetryDelay.h
+++ b/Source/Core/Decision/RetryDelay.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// How long a task waits before it is tried again.
+// The delay before a task's next attempt.
 
 #include <cstdint>
 
@@ -17,6 +17,7 @@
 
 // Doubles with each failure, from retry_first up to retry_most.
 duration backoff_after(std::uint32_t failures, const scheduling_options& options);
-// Between three and five quarters of it, differently for each task and try, so that retries spread.
-duration spread_out(duration delay, const task_id& task, attempt_number attempt);
+// Scales the delay by a factor from 0.75 to 1.25 that depends on task and attempt, so that retries
+// do not come all at once.
+duration with_jitter(duration delay, const task_id& task, attempt_number attempt);
 } // namespace yardhill::decision
--- a/Source/Core/Decision/RunEstimator.h
+++ b/Source/Core/Decision/RunEstimator.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Learns how long a workload's tasks really run, since declared times are often far off.
+// Estimates how long a workload's tasks run from their latest runs, since declared run times are
+// often far off.
 
 #include <array>
 #include <cstddef>
@@ -19,22 +20,24 @@
 class run_estimator
 {
 public:
-  // With `learn` off it believes the declarations, as the baselines do.
+  // With `learn` false, estimate() always returns the declared run time, as the baseline policies
+  // do.
   explicit run_estimator(bool learn) : m_learn(learn) {}
 
   void observed(const workload_id& workload, duration ran);
-  // A high quantile of the latest runs; the declared time until enough were seen.
+  // Returns the 0.9 quantile of the latest runs, or the declared run time until k_min_samples runs
+  // were observed.
   duration estimate(const workload_id& workload, duration declared) const;
 
 private:
-  static constexpr std::size_t k_remembered = 32;
-  static constexpr std::size_t k_enough = 4;
+  static constexpr std::size_t k_sample_count = 32;
+  static constexpr std::size_t k_min_samples = 4;
 
   struct history
   {
-    std::array<duration, k_remembered> latest{};
-    std::size_t seen = 0;
-    duration high{0}; // quantile of `latest`
+    std::array<duration, k_sample_count> latest{};
+    std::size_t run_count = 0;
+    duration high_quantile{0}; // of `latest`
   };
 
   bool m_learn;
--- a/Source/Core/Decision/SchedulerOutput.h
+++ b/Source/Core/Decision/SchedulerOutput.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// What a partition's scheduler wants done. The instance adds terms and tickets and sends it.
+// The actions that a partition's scheduler requests. The instance adds terms and tickets and sends
+// them.
 
 #include <string_view>
 #include <vector>
@@ -31,10 +32,10 @@
 {
   reply_address to;
   answer value;
-  bool moved = false; // nothing was decided: ask the partition's new owner
+  bool moved = false; // no decision was made; the caller must ask the partition's new owner
 };
 
-// What happened to a task, for the log.
+// A log entry about a task.
 struct task_log_event
 {
   task_id task;
--- a/Source/Core/Decision/TaskRecord.cpp
+++ b/Source/Core/Decision/TaskRecord.cpp
@@ -21,7 +21,7 @@
   return name_of(k_phase_names, phase);
 }
 
-bool task_record::all_members_over() const
+bool task_record::all_members_ended() const
 {
   return std::ranges::all_of(
       members, [](const member_run& member)
--- a/Source/Core/Decision/TaskRecord.h
+++ b/Source/Core/Decision/TaskRecord.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What a partition's scheduler knows of one task.
+// The state that a partition's scheduler keeps of one task.
 
 #include <cstdint>
 #include <optional>
@@ -19,7 +19,8 @@
 {
 using namespace common;
 
-// Who waits for an answer: a caller of this instance (no peer), or a peer's forwarded request.
+// Where a reply goes: to a caller of this instance (`peer` is empty) or to the peer that forwarded
+// the request.
 struct reply_address
 {
   instance_id peer;
@@ -28,9 +29,9 @@
 
 enum class member_phase
 {
-  idle,     // not sent, or certainly not taken
-  starting, // sent, no answer yet
-  unclear,  // sent, the answer was lost
+  idle,     // the start request was not sent, or the worker certainly did not accept it
+  starting, // the start request was sent; no answer yet
+  unclear,  // the start request was sent; the answer was lost
   running,
   over
 };
@@ -38,7 +39,7 @@
 struct waiter
 {
   reply_address to;
-  bool until_final = true; // false: acceptance is enough
+  bool until_final = true; // false: the reply is due when the task is accepted
 };
 
 // One member of the current attempt.
@@ -47,22 +48,23 @@
   member_phase phase = member_phase::idle;
   worker_id worker;
   std::string boot;
-  std::uint64_t started_moment = 0; // the worker's count when it took the start
+  std::uint64_t started_change_count = 0; // the worker's change counter when it accepted the start
   resources granted;
   attempt_result result = attempt_result::failed;
   std::string body;
   duration ran{0};
-  time_point lapses = k_never; // its worker is out of reach: when it is surely over
-  bool lost = false;           // over without word from the worker
+  // Time by which the member has certainly ended; k_never while its worker is reachable.
+  time_point lease_end = k_never;
+  bool lost = false; // ended without a report from the worker
 };
 
 enum class task_phase
 {
-  storing, // its first row is being written
-  held,    // an earlier owner's worker may still run it
-  delayed, // waits for its next try
+  storing, // the task's first row is being written
+  held,    // a worker may still run the task for an earlier owner
+  delayed, // the task waits for its next attempt
   queued,
-  intending, // the row of its next attempt is being written
+  intending, // the row with the intent of the next attempt is being written
   active,
   ended
 };
@@ -85,22 +87,23 @@
   attempt_number attempt = 0; // of the current attempt, 0 before the first
   std::uint32_t tries = 0;    // attempts by this owner
   std::uint32_t failures = 0;
-  worker_id failed_on; // the latest worker that failed it; others are tried first
+  worker_id failed_on; // the worker of the latest failed attempt; other workers are preferred
   std::vector<member_run> members;
-  std::vector<std::size_t> planned_workers; // while intending: ledger positions
+  // Ledger positions of the workers chosen for an attempt, used until its start requests are sent.
+  std::vector<std::size_t> planned_workers;
   stop_cause stopping = stop_cause::none;
-  bool may_have_run = false; // some attempt was, or may have been, taken by a worker
+  bool may_have_run = false; // a worker accepted, or may have accepted, an attempt
   bool has_row = false;
-  bool foreign = false; // an earlier owner may have started it
+  bool maybe_started_by_earlier_owner = false;
   std::optional<stored_intent> intent;
   std::optional<answer> final_answer;
   std::vector<waiter> waiters;
   time_point accepted_at;
   time_point started_at;
   time_point ended_at;
-  time_point due = k_never; // by the deadline
-  time_point preempted_for_at{
-      std::chrono::hours{-1}}; // when others were last asked to make room for it
+  time_point due = k_never; // time at which the deadline passes
+  // Time at which other tasks were last preempted in favour of this one.
+  time_point last_preemption_at{std::chrono::hours{-1}};
   std::int64_t queue_key = 0;
   std::uint64_t sequence = 0; // order of acceptance
 
@@ -108,7 +111,7 @@
   {
     return {spec.id, attempt, static_cast<std::uint32_t>(member)};
   }
-  bool all_members_over() const;
+  bool all_members_ended() const;
   stored_task to_stored() const { return {spec, intent, final_answer, {}}; }
 };
 } // namespace yardhill::decision
--- a/Source/Core/Decision/TaskTable.cpp
+++ b/Source/Core/Decision/TaskTable.cpp
@@ -7,7 +7,7 @@
 {
 namespace
 {
-// Beside the payload and the body, roughly what one record and its places in the tables take.
+// Approximate memory of one record and its entries in the containers, without payload and body.
 constexpr std::size_t k_record_bytes = 512;
 } // namespace
 
@@ -19,18 +19,18 @@
 
 task_record& task_table::create(const task_spec& spec, time_point now)
 {
-  auto made = std::make_unique<task_record>();
-  made->spec = spec;
-  made->accepted_at = now;
-  made->started_at = now;
-  made->sequence = m_next_sequence++;
+  auto record = std::make_unique<task_record>();
+  record->spec = spec;
+  record->accepted_at = now;
+  record->started_at = now;
+  record->sequence = m_next_sequence++;
   const duration aged = m_options.ageing_step * spec.priority;
-  made->queue_key = (now - aged).time_since_epoch().count();
+  record->queue_key = (now - aged).time_since_epoch().count();
   if (spec.deadline > duration{0})
-    made->due = now + spec.deadline;
-  task_record& record = *made;
-  m_records[spec.id] = std::move(made);
-  return record;
+    record->due = now + spec.deadline;
+  task_record& created = *record;
+  m_records[spec.id] = std::move(record);
+  return created;
 }
 
 void task_table::erase(const task_id& id)
@@ -61,7 +61,8 @@
     const retained_entry& oldest = m_retained.front();
     const bool over = m_retained.size() > m_options.most_retained ||
                       m_retained_bytes > m_options.most_retained_bytes;
-    // The latest one stays whatever its size: its answer may not have been fetched yet.
+    // The latest ended task is kept whatever its size, since its answer may not have been fetched
+    // yet.
     if (oldest.until > now && (!over || m_retained.size() == 1))
       return;
     m_retained_bytes -= oldest.bytes;
--- a/Source/Core/Decision/TaskTable.h
+++ b/Source/Core/Decision/TaskTable.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// The records of a partition's tasks, ended ones included for as long as memory allows.
+// The records of a partition's tasks, including ended tasks for as long as their retention period
+// and the memory bounds allow.
 
 #include <deque>
 #include <memory>
@@ -24,9 +25,11 @@
   void erase(const task_id& id);
   void clear();
 
-  // From now on the task's record is only kept so that a repeated request gets the same answer.
+  // Marks an ended task as retained: its record is kept only so that a repeated request gets the
+  // same answer.
   void retain(const task_record& ended, time_point now);
-  // Forgets ended tasks past their time or past the memory bound, oldest first.
+  // Removes ended tasks past the retention period or beyond the bounds on count and memory, oldest
+  // first.
   void evict(time_point now);
 
   std::size_t size() const { return m_records.size(); }
--- a/Source/Core/Decision/TeamShares.h
+++ b/Source/Core/Decision/TeamShares.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// How much of a partition each team uses against what it is entitled to there.
+// Each team's use of a partition's capacity relative to its entitlement there.
 
 #include <unordered_map>
 
@@ -14,9 +14,9 @@
 {
 using namespace common;
 
-// A quota is cell-wide, but each partition enforces its own part of it, by its part of the cell's
-// capacity: no talk between partitions is needed, so a cut changes nothing. A team may borrow
-// what nobody entitled waits for.
+// A quota is cell-wide, but each partition enforces a part of it, in proportion to the partition's
+// part of the cell's capacity. So partitions need not communicate, and a network failure between
+// them changes nothing. A team may borrow capacity that no entitled team waits for.
 class team_shares
 {
 public:
@@ -25,9 +25,10 @@
   void started(const team_id& team, const resources& demand);
   void ended(const team_id& team, const resources& demand);
 
-  // Use over entitlement, in the dimension where it is highest; above 1 means borrowing.
+  // Returns use divided by entitlement, in the dimension where it is highest. A value above 1 means
+  // that the team borrows capacity.
   double ratio(const team_id& team) const;
-  bool borrows(const team_id& team) const { return ratio(team) > 1.0; }
+  bool exceeds_entitlement(const team_id& team) const { return ratio(team) > 1.0; }
 
 private:
   struct account
--- a/Source/Core/Decision/WaitingQueue.cpp
+++ b/Source/Core/Decision/WaitingQueue.cpp
@@ -9,27 +9,27 @@
 {
 void waiting_queue::insert(task_record& task)
 {
-  line& own = of_kind(task.spec.kind)[task.spec.team];
-  own.emplace(std::pair{task.queue_key, task.sequence}, &task);
+  team_queue& queue = of_kind(task.spec.kind)[task.spec.team];
+  queue.emplace(std::pair{task.queue_key, task.sequence}, &task);
   ++m_sizes.at(static_cast<std::size_t>(task.spec.kind));
 }
 
 void waiting_queue::remove(const task_record& task)
 {
-  team_lines& lines = of_kind(task.spec.kind);
-  const auto own = lines.find(task.spec.team);
-  if (own == lines.end())
+  team_queues& queues = of_kind(task.spec.kind);
+  const auto found = queues.find(task.spec.team);
+  if (found == queues.end())
     return;
   m_sizes.at(static_cast<std::size_t>(task.spec.kind)) -=
-      own->second.erase({task.queue_key, task.sequence});
-  if (own->second.empty())
-    lines.erase(own);
+      found->second.erase({task.queue_key, task.sequence});
+  if (found->second.empty())
+    queues.erase(found);
 }
 
 void waiting_queue::clear()
 {
-  for (team_lines& lines : m_kinds)
-    lines.clear();
+  for (team_queues& queues : m_kinds)
+    queues.clear();
   m_sizes.fill(0);
 }
 
--- a/Source/Core/Decision/WaitingQueue.h
+++ b/Source/Core/Decision/WaitingQueue.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The tasks that wait for a place, by kind and team.
+// The tasks that wait for placement, by kind and team.
 
 #include <array>
 #include <cstdint>
@@ -16,25 +16,25 @@
 
 namespace yardhill::decision
 {
-// Within a team the order is that of arrival, where each priority level counts as having come
-// `ageing step` earlier; so a task that waits long enough passes any fixed priority.
+// Within a team, tasks are ordered by arrival time, where each priority level counts as an arrival
+// earlier by `ageing_step`. So a task that waits long enough overtakes any fixed priority.
 class waiting_queue
 {
 public:
   // Key and order of acceptance; lowest first.
-  using line = std::map<std::pair<std::int64_t, std::uint64_t>, task_record*>;
-  using team_lines = std::map<team_id, line>;
+  using team_queue = std::map<std::pair<std::int64_t, std::uint64_t>, task_record*>;
+  using team_queues = std::map<team_id, team_queue>;
 
   void insert(task_record& task);
   void remove(const task_record& task);
   void clear();
 
-  team_lines& of_kind(task_kind kind) { return m_kinds.at(static_cast<std::size_t>(kind)); }
+  team_queues& of_kind(task_kind kind) { return m_kinds.at(static_cast<std::size_t>(kind)); }
   std::size_t size(task_kind kind) const { return m_sizes.at(static_cast<std::size_t>(kind)); }
   std::size_t size() const;
 
 private:
-  std::array<team_lines, static_cast<std::size_t>(task_kind::count)> m_kinds;
+  std::array<team_queues, static_cast<std::size_t>(task_kind::count)> m_kinds;
   std::array<std::size_t, static_cast<std::size_t>(task_kind::count)> m_sizes{};
 };
 } // namespace yardhill::decision
--- a/Source/Core/Decision/WorkerCircuit.h
+++ b/Source/Core/Decision/WorkerCircuit.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Judges whether a worker fails what it starts, whatever it is.
+// Circuit breaker of a worker: detects a worker that fails attempts regardless of their workload.
 
 #include <cstdint>
 #include <set>
@@ -16,9 +16,10 @@
 {
 using namespace common;
 
-// Opens after failures in a row of at least two unrelated workloads, or of four times as many of a
-// single one (which may itself be broken); then lets one repeatable attempt through at a
-// time until one succeeds. The open time doubles with each failed probe.
+// The circuit opens after `circuit_failures` consecutive failures of at least two different
+// workloads, or after four times as many of a single workload, which may itself be broken. When the
+// open time has passed, one repeatable attempt at a time is admitted as a probe until one succeeds.
+// The open time doubles with each failed probe, up to `circuit_open_most`.
 class worker_circuit
 {
 public:
@@ -28,21 +29,21 @@
   // Returns true when this failure opened the circuit.
   bool failed(const workload_id& workload, time_point now);
 
-  bool closed() const { return m_opened_until == time_point{}; }
+  bool closed() const { return m_open_until == time_point{}; }
   // Whether a repeatable attempt may be tried now, as a probe.
-  bool may_probe(time_point now) const { return !m_probing && now >= m_opened_until; }
+  bool may_probe(time_point now) const { return !m_probing && now >= m_open_until; }
   void probe_started() { m_probing = true; }
-  // The probe never reached the worker, or was stopped: nothing was learned.
-  void probe_void() { m_probing = false; }
-  time_point opened_until() const { return m_opened_until; }
+  // The probe never reached the worker, or was stopped, so it says nothing about the worker.
+  void probe_inconclusive() { m_probing = false; }
+  time_point open_until() const { return m_open_until; }
 
 private:
   void open(time_point now);
 
   const scheduling_options& m_options;
-  std::uint32_t m_failures_in_row = 0;
+  std::uint32_t m_consecutive_failures = 0;
   std::set<workload_id> m_failed_workloads;
-  time_point m_opened_until{};
+  time_point m_open_until{};
   duration m_open_time{0};
   bool m_probing = false;
 };
--- a/Source/Core/Decision/WorkerInboxes.cpp
+++ b/Source/Core/Decision/WorkerInboxes.cpp
@@ -12,12 +12,12 @@
     box = inbox{boot, 0, {}};
 }
 
-bool worker_inboxes::take(const worker_id& worker, const ended_attempt& ended)
+bool worker_inboxes::record_ended(const worker_id& worker, const ended_attempt& ended)
 {
   inbox& box = m_inboxes[worker];
-  if (ended.sequence <= box.seen)
+  if (ended.sequence <= box.last_sequence)
     return false;
-  box.seen = ended.sequence;
+  box.last_sequence = ended.sequence;
   box.unsettled[ended.sequence] = ended.id.task;
   return true;
 }
@@ -46,6 +46,6 @@
   if (found == m_inboxes.end())
     return 0;
   const inbox& box = found->second;
-  return box.unsettled.empty() ? box.seen : box.unsettled.begin()->first - 1;
+  return box.unsettled.empty() ? box.last_sequence : box.unsettled.begin()->first - 1;
 }
 } // namespace yardhill::decision
--- a/Source/Core/Decision/WorkerInboxes.h
+++ b/Source/Core/Decision/WorkerInboxes.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// The ended attempts that each worker has told of: which were seen, and which are not settled yet.
-// A worker remembers an ended attempt until its owner has acknowledged it.
+// Tracks the ended attempts that each worker reported: which were received, and which are not
+// settled yet. A worker keeps an ended attempt until its owner has acknowledged it.
 
 #include <cstdint>
 #include <map>
@@ -21,24 +21,27 @@
 class worker_inboxes
 {
 public:
-  // News of this worker's boot: an earlier boot's sequence means nothing any more.
+  // Sets the worker's current boot. Sequence numbers start anew with each boot, so a new boot
+  // resets the worker's inbox.
   void set_boot(const worker_id& worker, const std::string& boot);
-  // Takes an ended attempt in; false if it was seen before.
-  bool take(const worker_id& worker, const ended_attempt& ended);
+  // Records an ended attempt. Returns false if the attempt was recorded before.
+  bool record_ended(const worker_id& worker, const ended_attempt& ended);
 
   void settle(const worker_id& worker, const task_id& task);
-  // For a task whose record is gone, and with it the names of its workers.
+  // Settles the task on all workers, for a task whose record, and with it the list of its workers,
+  // no longer exists.
   void settle_everywhere(const task_id& task);
   void clear() { m_inboxes.clear(); }
 
-  // The highest sequence of the worker's ended attempts such that all up to it are settled.
+  // Returns the highest sequence number N such that all of the worker's ended attempts up to N are
+  // settled.
   std::uint64_t settled_up_to(const worker_id& worker) const;
 
 private:
   struct inbox
   {
     std::string boot;
-    std::uint64_t seen = 0;
+    std::uint64_t last_sequence = 0;            // highest recorded
     std::map<std::uint64_t, task_id> unsettled; // by sequence
   };
 
--- a/Source/Core/Decision/WorkerLedger.cpp
+++ b/Source/Core/Decision/WorkerLedger.cpp
@@ -9,7 +9,7 @@
 {
 namespace
 {
-constexpr resources k_no_room{-1, -1, -1, -1, -1};
+constexpr resources k_nothing_free{-1, -1, -1, -1, -1};
 
 resources bounded_capacity(resources declared)
 {
@@ -22,7 +22,7 @@
 worker_ledger::worker_ledger(const worker_config& config, const scheduling_options& options)
     : m_config(config),
       m_capacity(bounded_capacity(config.capacity)),
-      m_room(k_no_room),
+      m_free_capacity(k_nothing_free),
       m_circuit(options)
 {
 }
@@ -31,7 +31,7 @@
 {
   m_config = config;
   m_capacity = bounded_capacity(config.capacity);
-  update_room();
+  update_free_capacity();
 }
 
 void worker_ledger::set_usable(bool usable, bool leaving, const std::string& boot)
@@ -40,37 +40,37 @@
   m_leaving = leaving;
   if (usable)
     m_boot = boot;
-  update_room();
+  update_free_capacity();
 }
 
 void worker_ledger::set_leaving()
 {
   m_leaving = true;
-  update_room();
+  update_free_capacity();
 }
 
 void worker_ledger::set_drained(bool drained)
 {
   m_drained = drained;
-  update_room();
+  update_free_capacity();
 }
 
 void worker_ledger::set_measured(const resources& used)
 {
   m_measured = used;
-  update_room();
+  update_free_capacity();
 }
 
 void worker_ledger::grant(const resources& demand)
 {
   m_granted += demand;
-  update_room();
+  update_free_capacity();
 }
 
 void worker_ledger::release(const resources& demand)
 {
   m_granted -= demand;
-  update_room();
+  update_free_capacity();
 }
 
 void worker_ledger::refresh(time_point now)
@@ -79,16 +79,16 @@
   if (blocked == m_blocked)
     return;
   m_blocked = blocked;
-  update_room();
+  update_free_capacity();
 }
 
-void worker_ledger::update_room()
+void worker_ledger::update_free_capacity()
 {
   if (!placeable() || m_blocked)
   {
-    m_room = k_no_room;
+    m_free_capacity = k_nothing_free;
     return;
   }
-  m_room = m_capacity - larger_of(m_granted, m_measured);
+  m_free_capacity = m_capacity - larger_of(m_granted, m_measured);
 }
 } // namespace yardhill::decision
--- a/Source/Core/Decision/WorkerLedger.h
+++ b/Source/Core/Decision/WorkerLedger.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What the owner of a partition has granted on one worker.
+// The capacity that the owner of a partition has granted on one worker.
 
 #include <string>
 
@@ -25,9 +25,10 @@
   const std::string& boot() const { return m_boot; }
   const resources& capacity() const { return m_capacity; }
   const resources& granted() const { return m_granted; }
-  // What a new grant may take; negative in every dimension while the worker takes nothing.
-  const resources& room() const { return m_room; }
-  bool usable() const { return m_usable; } // it answers
+  // Returns the free capacity for new grants; negative in every dimension while the worker accepts
+  // no grants.
+  const resources& room() const { return m_free_capacity; }
+  bool usable() const { return m_usable; } // the worker answers
   bool placeable() const { return m_usable && !m_leaving && !m_drained; }
   bool leaving() const { return m_leaving; }
   worker_circuit& circuit() { return m_circuit; }
@@ -36,23 +37,23 @@
   void set_config(const worker_config& config);
   void set_usable(bool usable, bool leaving, const std::string& boot);
   void set_leaving();
-  // By an operator, until told otherwise.
+  // Set by an operator, in force until the operator ends it.
   void set_drained(bool drained);
-  // Measured use lags behind, so it can only ever take room away, never give any.
+  // Measured use lags behind, so it may only reduce the free capacity, never increase it.
   void set_measured(const resources& used);
   void grant(const resources& demand);
   void release(const resources& demand);
-  // Puts the circuit's state into room(); to be called when time passes or the circuit changes.
+  // Updates room() by the circuit's state. Call refresh() when time passes or the circuit changes.
   void refresh(time_point now);
 
 private:
-  void update_room();
+  void update_free_capacity();
 
   worker_config m_config;
   resources m_capacity;
   resources m_granted;
   resources m_measured;
-  resources m_room;
+  resources m_free_capacity;
   std::string m_boot;
   bool m_usable = false;
   bool m_leaving = false;
--- a/Source/Core/Decision/WorkerPool.cpp
+++ b/Source/Core/Decision/WorkerPool.cpp
@@ -10,10 +10,11 @@
 {
 namespace
 {
-// More than any strategy's score: a worker that failed the task before is the last choice.
-constexpr double k_failed_here = 1e9;
+// Larger than any strategy's score, so that the worker that last failed the task is chosen only if
+// no other fits.
+constexpr double k_failed_worker_penalty = 1e9;
 
-std::int64_t times_in(std::int64_t part, std::int64_t whole)
+std::int64_t multiples_in(std::int64_t part, std::int64_t whole)
 {
   return part > 0 ? whole / part : std::numeric_limits<std::int64_t>::max();
 }
@@ -53,7 +54,7 @@
   return found->second;
 }
 
-resources worker_pool::total_room() const
+resources worker_pool::total_free_capacity() const
 {
   resources sum;
   for (const worker_ledger& ledger : m_ledgers)
@@ -87,20 +88,21 @@
   return excess;
 }
 
-std::uint64_t members_in(const resources& demand, const resources& room)
+std::uint64_t members_fitting_in(const resources& demand, const resources& free_capacity)
 {
-  const std::int64_t most = std::min(
-      {times_in(demand.cpu_millis, room.cpu_millis), times_in(demand.memory_mib, room.memory_mib),
-       times_in(demand.accelerators, room.accelerators), times_in(demand.slots, room.slots),
-       times_in(demand.connections, room.connections)});
+  const std::int64_t most = std::min({multiples_in(demand.cpu_millis, free_capacity.cpu_millis),
+                                      multiples_in(demand.memory_mib, free_capacity.memory_mib),
+                                      multiples_in(demand.accelerators, free_capacity.accelerators),
+                                      multiples_in(demand.slots, free_capacity.slots),
+                                      multiples_in(demand.connections, free_capacity.connections)});
   return static_cast<std::uint64_t>(std::clamp<std::int64_t>(most, 0, k_worker_slots));
 }
 
-std::uint64_t worker_pool::most_members(const resources& demand) const
+std::uint64_t worker_pool::max_members(const resources& demand) const
 {
   std::uint64_t sum = 0;
   for (const worker_ledger& ledger : m_ledgers)
-    sum += members_in(demand, ledger.capacity());
+    sum += members_fitting_in(demand, ledger.capacity());
   return sum;
 }
 
@@ -141,12 +143,13 @@
     const worker_ledger& ledger = m_ledgers[position];
     if (!demand.fits_in(ledger.room()))
       continue;
-    // A worker under suspicion is probed with work that may be tried again, one at a time.
+    // A worker whose circuit is not closed is probed with repeatable single-member tasks, one at a
+    // time.
     if (!ledger.circuit().closed() && (!task.spec.repeatable || task.spec.members > 1))
       continue;
     double score = strategy.score(candidate_at(position, task, strategy));
     if (ledger.id() == task.failed_on)
-      score -= k_failed_here;
+      score -= k_failed_worker_penalty;
     if (!best || score > best_score)
     {
       best = position;
@@ -166,27 +169,29 @@
                                 0,
                                 0,
                                 static_cast<std::uint32_t>(position)};
-  if (!strategy.counts_same)
+  if (!strategy.counts_colocated)
     return candidate;
-  candidate.same_on_worker = same_on_worker(position, task.spec.workload);
-  candidate.same_on_rack = same_on_rack(position, task.spec.workload);
+  candidate.colocated_on_worker = colocated_on_worker(position, task.spec.workload);
+  candidate.colocated_on_rack = colocated_on_rack(position, task.spec.workload);
   return candidate;
 }
 
-std::uint32_t worker_pool::same_on_worker(std::size_t position, const workload_id& workload) const
+std::uint32_t worker_pool::colocated_on_worker(std::size_t position,
+                                               const workload_id& workload) const
 {
   const auto same = [&workload](const placed_member& placed)
   { return placed.task->spec.workload == workload; };
   return static_cast<std::uint32_t>(std::ranges::count_if(m_placed[position], same));
 }
 
-std::uint32_t worker_pool::same_on_rack(std::size_t position, const workload_id& workload) const
+std::uint32_t worker_pool::colocated_on_rack(std::size_t position,
+                                             const workload_id& workload) const
 {
   std::uint32_t sum = 0;
   for (std::size_t other = 0; other < m_ledgers.size(); ++other)
   {
     if (m_ledgers[other].rack() == m_ledgers[position].rack())
-      sum += same_on_worker(other, workload);
+      sum += colocated_on_worker(other, workload);
   }
   return sum;
 }
--- a/Source/Core/Decision/WorkerPool.h
+++ b/Source/Core/Decision/WorkerPool.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The workers of a partition, what was granted on them, and which one a task should get.
+// The workers of a partition, the capacity granted on them, and the choice of workers for a task.
 
 #include <optional>
 #include <unordered_map>
@@ -17,7 +17,7 @@
 
 namespace yardhill::decision
 {
-// A grant: one member of a task on a worker.
+// A grant of capacity on a worker to one member of a task.
 struct placed_member
 {
   task_record* task = nullptr;
@@ -25,8 +25,8 @@
   resources demand;
 };
 
-// How many such members the room holds; at most a worker's slots.
-std::uint64_t members_in(const resources& demand, const resources& room);
+// Returns how many members with this demand fit into the free capacity; at most a worker's slots.
+std::uint64_t members_fitting_in(const resources& demand, const resources& free_capacity);
 
 class worker_pool
 {
@@ -36,8 +36,8 @@
   {
   }
 
-  // Takes over the workers that the configuration gives the partition. A worker that it no longer
-  // gives stays known, as leaving, until nothing runs there.
+  // Sets the workers that the configuration assigns to the partition. A worker that is no longer
+  // assigned stays in the pool as leaving, since attempts may still run there.
   void configure(const std::vector<worker_config>& workers);
 
   std::size_t size() const { return m_ledgers.size(); }
@@ -49,17 +49,18 @@
     return m_placed[position];
   }
   const resources& capacity() const { return m_capacity; }
-  // Room, and capacity, on all workers that take work now.
-  resources total_room() const;
+  // Sums of the free capacity and of the capacity of all workers that currently accept tasks.
+  resources total_free_capacity() const;
   resources live_capacity() const;
-  // A worker that could hold the demand were it empty; none with the dimension that fails.
+  // Returns nullopt if some worker could hold the demand when empty. Otherwise returns a dimension
+  // in which the demand exceeds the last worker's capacity, or `slots` if there is no worker.
   std::optional<resource_dimension> never_fits(const resources& demand) const;
-  // How many such members all workers together could hold, were they empty.
-  std::uint64_t most_members(const resources& demand) const;
+  // Returns how many members with this demand all workers together could hold when empty.
+  std::uint64_t max_members(const resources& demand) const;
 
   void refresh_circuits(time_point now);
 
-  // A worker for each member, all or none. Nothing is granted yet.
+  // Returns a worker's position for each member, or nullopt if not all members fit. Grants nothing.
   std::optional<std::vector<std::size_t>> plan(const task_record& task);
   void grant(std::size_t position, task_record& task, std::size_t member);
   void release(std::size_t position, const task_record& task, std::size_t member);
@@ -69,8 +70,8 @@
   std::optional<std::size_t> choose(const task_record& task, const placement_strategy& strategy);
   placement_candidate candidate_at(std::size_t position, const task_record& task,
                                    const placement_strategy& strategy) const;
-  std::uint32_t same_on_worker(std::size_t position, const workload_id& workload) const;
-  std::uint32_t same_on_rack(std::size_t position, const workload_id& workload) const;
+  std::uint32_t colocated_on_worker(std::size_t position, const workload_id& workload) const;
+  std::uint32_t colocated_on_rack(std::size_t position, const workload_id& workload) const;
 
   const scheduling_options& m_options;
   const placement_policy& m_policy;
--- a/Source/UnitTests/Decision/AttemptVerdictTest.cpp
+++ b/Source/UnitTests/Decision/AttemptVerdictTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// How an attempt went as a whole, for each way its members can end.
+// Tests the verdict on an attempt for each way in which its members can end.
 
 #include <vector>
 
--- a/Source/UnitTests/Decision/WorkerInboxesTest.cpp
+++ b/Source/UnitTests/Decision/WorkerInboxesTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What an owner may acknowledge to a worker.
+// Tests up to which ended attempt an owner may acknowledge a worker's reports.
 
 #include <boost/test/unit_test.hpp>
 
@@ -26,8 +26,8 @@
   one_worker()
   {
     inboxes.set_boot(k_worker, "boot-1");
-    inboxes.take(k_worker, ended(1, "a"));
-    inboxes.take(k_worker, ended(2, "b"));
+    inboxes.record_ended(k_worker, ended(1, "a"));
+    inboxes.record_ended(k_worker, ended(2, "b"));
   }
 
   worker_inboxes inboxes;
@@ -36,10 +36,10 @@
 
 BOOST_AUTO_TEST_SUITE(WorkerInboxesTest)
 
-BOOST_FIXTURE_TEST_CASE(an_ended_attempt_is_taken_once, one_worker)
+BOOST_FIXTURE_TEST_CASE(an_ended_attempt_is_recorded_once, one_worker)
 {
-  BOOST_TEST(!inboxes.take(k_worker, ended(2, "b")));
-  BOOST_TEST(inboxes.take(k_worker, ended(3, "c")));
+  BOOST_TEST(!inboxes.record_ended(k_worker, ended(2, "b")));
+  BOOST_TEST(inboxes.record_ended(k_worker, ended(3, "c")));
 }
 
 BOOST_FIXTURE_TEST_CASE(nothing_behind_an_unsettled_end_is_acknowledged, one_worker)
@@ -55,7 +55,7 @@
 {
   inboxes.set_boot(k_worker, "boot-2");
   BOOST_TEST(inboxes.settled_up_to(k_worker) == 0U);
-  BOOST_TEST(inboxes.take(k_worker, ended(1, "d")));
+  BOOST_TEST(inboxes.record_ended(k_worker, ended(1, "d")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Decision/WorkerLedgerTest.cpp
+++ b/Source/UnitTests/Decision/WorkerLedgerTest.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What a worker has left: from grants, and from measured use, which only ever takes away.
+// Tests a worker's free capacity, which follows from grants and from measured use. Measured use may
+// only reduce it.
 
 #include <boost/test/unit_test.hpp>
 
