--- a/Source/Core/Decision/AttemptVerdict.cpp
+++ b/Source/Core/Decision/AttemptVerdict.cpp
@@ -21,7 +21,7 @@
 
 bool ended_with(const member_run& member, attempt_result result)
 {
-  return member.phase == member_phase::over && member.result == result;
+  return member.phase == member_phase::ended && member.result == result;
 }
 
 bool is_done(const member_run& member)
@@ -84,15 +84,15 @@
 
 answer not_again_answer(const task_record& task, attempt_verdict verdict)
 {
-  answer over = unclear(task.spec.id, refusal_reason::run_unclear,
-                        "its worker was lost while it ran", "run", duration{0});
+  answer result = unclear(task.spec.id, refusal_reason::run_unclear,
+                          "its worker was lost while it ran", "run", duration{0});
   if (verdict == attempt_verdict::failed_for_good)
   {
-    over.result = outcome::failed;
-    over.reason = refusal_reason::attempts_exhausted;
-    over.detail = "the one attempt that it may have failed";
+    result.result = outcome::failed;
+    result.reason = refusal_reason::attempts_exhausted;
+    result.detail = "the one attempt that it may have failed";
   }
-  over.peer = task.members.front().worker.value;
-  return over;
+  result.peer = task.members.front().worker.value;
+  return result;
 }
 } // namespace yardhill::decision
--- a/Source/Core/Decision/PartitionScheduler.h
+++ b/Source/Core/Decision/PartitionScheduler.h
@@ -147,8 +147,8 @@
   void resend_stop(const task_record& task, std::size_t member);
   void stop_members(task_record& task, stop_cause cause, bool checkpoint);
   void conclude_attempt(task_record& task, time_point now);
-  void retry(task_record& task, retry_reason why, bool counts, time_point now);
-  std::optional<duration> retry_delay(const task_record& task, retry_reason why);
+  void retry(task_record& task, retry_reason reason, bool counts_as_failure, time_point now);
+  std::optional<duration> retry_delay(const task_record& task, retry_reason reason);
   void fail_without_retry(task_record& task, time_point now);
   void fail_for_good(task_record& task, time_point now);
   void finish(task_record& task, answer result, time_point now);
--- a/Source/Core/Decision/PartitionSchedulerAnswers.cpp
+++ b/Source/Core/Decision/PartitionSchedulerAnswers.cpp
@@ -108,7 +108,7 @@
   value.result = outcome::accepted;
   value.detail = std::string(to_text(task.phase));
   value.durability = task.has_row ? "table" : "memory";
-  value.attempts = task.tries;
+  value.attempts = task.attempt_count;
   return value;
 }
 
@@ -140,7 +140,7 @@
   task.phase = task_phase::ended;
   task.ended_at = now;
   result.task = task.spec.id;
-  result.attempts = task.tries;
+  result.attempts = task.attempt_count;
   task.final_answer = std::move(result);
   const answer& final = *task.final_answer;
   m_metrics.add(final.result == outcome::done ? counter::tasks_done : counter::tasks_failed);
--- a/Source/Core/Decision/PartitionSchedulerRuns.cpp
+++ b/Source/Core/Decision/PartitionSchedulerRuns.cpp
@@ -28,7 +28,7 @@
                                         time_point now)
 {
   task.attempt = ++m_last_attempt;
-  ++task.tries;
+  ++task.attempt_count;
   task.stopping = stop_cause::none;
   task.planned_workers = workers;
   task.members.assign(workers.size(), member_run{});
@@ -63,7 +63,7 @@
   task.phase = task_phase::active;
   task.started_at = now;
   m_metrics.add(counter::attempts_started);
-  if (task.tries == 1)
+  if (task.attempt_count == 1)
     m_metrics.record(waiting_timing_of(task.spec.kind), now - task.accepted_at);
   const std::string spec_text = to_json_text(task.spec);
   for (std::size_t member = 0; member < task.members.size(); ++member)
@@ -153,9 +153,9 @@
                                        const ended_attempt& end, time_point now)
 {
   member_run& run = task.members[member];
-  if (run.phase == member_phase::over)
+  if (run.phase == member_phase::ended)
     return; // the worker reported the end before
-  run.phase = member_phase::over;
+  run.phase = member_phase::ended;
   run.result = end.result;
   run.body = end.body;
   run.ran = end.ran;
@@ -208,9 +208,9 @@
 void partition_scheduler::member_lapsed(task_record& task, std::size_t member, time_point now)
 {
   member_run& run = task.members[member];
-  if (run.phase == member_phase::over || run.phase == member_phase::idle)
+  if (run.phase == member_phase::ended || run.phase == member_phase::idle)
     return;
-  run.phase = member_phase::over;
+  run.phase = member_phase::ended;
   run.result = attempt_result::lapsed;
   run.lost = true;
   task.may_have_run = true;
@@ -230,7 +230,7 @@
   {
     const member_run& run = task.members[member];
     // A member of an adopted gang may be on a worker that has not reported yet.
-    const bool alive = run.phase != member_phase::over && run.phase != member_phase::idle;
+    const bool alive = run.phase != member_phase::ended && run.phase != member_phase::idle;
     if (alive && !run.worker.empty())
       m_output.stops.push_back({run.worker, task.id_of_member(member), checkpoint});
   }
@@ -273,27 +273,28 @@
 }
 
 // Schedules another attempt, or ends the task if its attempts or the retry budget are used up.
-// `counts` is true if the failed attempt counts against the task's max_attempts.
-void partition_scheduler::retry(task_record& task, retry_reason why, bool counts, time_point now)
+// `counts_as_failure` is true if the failed attempt counts against the task's max_attempts.
+void partition_scheduler::retry(task_record& task, retry_reason reason, bool counts_as_failure,
+                                time_point now)
 {
   const bool service = task.spec.kind == task_kind::service;
-  if (counts && !service && task.failures + 1 >= task.spec.max_attempts)
+  if (counts_as_failure && !service && task.failures + 1 >= task.spec.max_attempts)
   {
     fail_for_good(task, now);
     return;
   }
   decrement_active(task);
-  m_metrics.add(why);
-  log_task_event(task, "retry", std::string(to_text(why)));
+  m_metrics.add(reason);
+  log_task_event(task, "retry", std::string(to_text(reason)));
   settle_members(task);
-  if (counts)
+  if (counts_as_failure)
     ++task.failures;
   task.stopping = stop_cause::none;
   task.intent.reset();
   task.phase = task_phase::delayed;
-  if (why == retry_reason::preempted)
+  if (reason == retry_reason::preempted)
     enqueue(task, now);
-  else if (const std::optional<duration> delay = retry_delay(task, why))
+  else if (const std::optional<duration> delay = retry_delay(task, reason))
     add_timer(now + with_jitter(*delay, task.spec.id, task.attempt), timer_kind::retry, task);
   else
     fail_without_retry(task, now);
@@ -301,9 +302,10 @@
 
 // Returns nullopt if the retry budget is used up and a caller waits for the result of an
 // interactive task.
-std::optional<duration> partition_scheduler::retry_delay(const task_record& task, retry_reason why)
+std::optional<duration> partition_scheduler::retry_delay(const task_record& task,
+                                                         retry_reason reason)
 {
-  if (why == retry_reason::start_refused)
+  if (reason == retry_reason::start_refused)
     return k_start_refused_delay;
   if (m_budget.try_spend())
     return backoff_after(task.failures, m_options);
--- a/Source/Core/Decision/TaskRecord.cpp
+++ b/Source/Core/Decision/TaskRecord.cpp
@@ -25,6 +25,6 @@
 {
   return std::ranges::all_of(
       members, [](const member_run& member)
-      { return member.phase == member_phase::over || member.phase == member_phase::idle; });
+      { return member.phase == member_phase::ended || member.phase == member_phase::idle; });
 }
 } // namespace yardhill::decision
--- a/Source/Core/Decision/TaskRecord.h
+++ b/Source/Core/Decision/TaskRecord.h
@@ -33,7 +33,7 @@
   starting, // the start request was sent; no answer yet
   unclear,  // the start request was sent; the answer was lost
   running,
-  over
+  ended
 };
 
 struct waiter
@@ -84,8 +84,8 @@
 {
   task_spec spec;
   task_phase phase = task_phase::queued;
-  attempt_number attempt = 0; // of the current attempt, 0 before the first
-  std::uint32_t tries = 0;    // attempts by this owner
+  attempt_number attempt = 0;      // of the current attempt, 0 before the first
+  std::uint32_t attempt_count = 0; // attempts by this owner
   std::uint32_t failures = 0;
   worker_id failed_on; // the worker of the latest failed attempt; other workers are preferred
   std::vector<member_run> members;
--- a/Source/Core/Decision/TaskTable.cpp
+++ b/Source/Core/Decision/TaskTable.cpp
@@ -59,11 +59,11 @@
   while (!m_retained.empty())
   {
     const retained_entry& oldest = m_retained.front();
-    const bool over = m_retained.size() > m_options.most_retained ||
-                      m_retained_bytes > m_options.most_retained_bytes;
+    const bool exceeds_bounds = m_retained.size() > m_options.most_retained ||
+                                m_retained_bytes > m_options.most_retained_bytes;
     // The latest ended task is kept whatever its size, since its answer may not have been fetched
     // yet.
-    if (oldest.until > now && (!over || m_retained.size() == 1))
+    if (oldest.until > now && (!exceeds_bounds || m_retained.size() == 1))
       return;
     m_retained_bytes -= oldest.bytes;
     m_records.erase(oldest.id);
--- a/Source/UnitTests/Decision/AttemptVerdictTest.cpp
+++ b/Source/UnitTests/Decision/AttemptVerdictTest.cpp
@@ -13,10 +13,10 @@
 
 namespace
 {
-member_run over(attempt_result result, bool lost = false)
+member_run ended_member(attempt_result result, bool lost = false)
 {
   member_run member;
-  member.phase = member_phase::over;
+  member.phase = member_phase::ended;
   member.result = result;
   member.lost = lost;
   return member;
@@ -32,56 +32,56 @@
   return task;
 }
 
-bool is(const task_record& task, attempt_verdict verdict)
+bool has_verdict(const task_record& task, attempt_verdict verdict)
 {
   return judge_attempt(task) == verdict;
 }
 
-const member_run k_done = over(attempt_result::done);
-const member_run k_failed = over(attempt_result::failed);
-const member_run k_stopped = over(attempt_result::stopped);
-const member_run k_lapsed = over(attempt_result::lapsed, true);
+const member_run k_done = ended_member(attempt_result::done);
+const member_run k_failed = ended_member(attempt_result::failed);
+const member_run k_stopped = ended_member(attempt_result::stopped);
+const member_run k_lapsed = ended_member(attempt_result::lapsed, true);
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(AttemptVerdictTest)
 
 BOOST_AUTO_TEST_CASE(every_member_has_to_be_done)
 {
-  BOOST_TEST(is(task_of({k_done, k_done}), attempt_verdict::done));
-  BOOST_TEST(is(task_of({k_done, k_failed}), attempt_verdict::failed));
+  BOOST_TEST(has_verdict(task_of({k_done, k_done}), attempt_verdict::done));
+  BOOST_TEST(has_verdict(task_of({k_done, k_failed}), attempt_verdict::failed));
 }
 
 BOOST_AUTO_TEST_CASE(a_service_is_never_done)
 {
   task_record service = task_of({k_done});
   service.spec.kind = task_kind::service;
-  BOOST_TEST(is(service, attempt_verdict::failed));
+  BOOST_TEST(has_verdict(service, attempt_verdict::failed));
 }
 
-BOOST_AUTO_TEST_CASE(what_was_done_before_the_stop_came_counts)
+BOOST_AUTO_TEST_CASE(a_completion_before_the_stop_counts)
 {
-  BOOST_TEST(is(task_of({k_done}, stop_cause::cancelled), attempt_verdict::done));
-  BOOST_TEST(is(task_of({k_stopped}, stop_cause::cancelled), attempt_verdict::stopped));
-  BOOST_TEST(is(task_of({k_stopped}, stop_cause::deadline), attempt_verdict::stopped));
+  BOOST_TEST(has_verdict(task_of({k_done}, stop_cause::cancelled), attempt_verdict::done));
+  BOOST_TEST(has_verdict(task_of({k_stopped}, stop_cause::cancelled), attempt_verdict::stopped));
+  BOOST_TEST(has_verdict(task_of({k_stopped}, stop_cause::deadline), attempt_verdict::stopped));
 }
 
 BOOST_AUTO_TEST_CASE(a_task_that_may_run_once_is_tried_again_only_if_it_never_ran)
 {
   task_record once = task_of({k_lapsed});
   once.spec.repeatable = false;
-  BOOST_TEST(is(once, attempt_verdict::run_unclear));
+  BOOST_TEST(has_verdict(once, attempt_verdict::run_unclear));
   once.members = {k_failed};
-  BOOST_TEST(is(once, attempt_verdict::failed_for_good));
+  BOOST_TEST(has_verdict(once, attempt_verdict::failed_for_good));
   once.members = {member_run{}};
-  BOOST_TEST(is(once, attempt_verdict::not_started));
+  BOOST_TEST(has_verdict(once, attempt_verdict::not_started));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_no_fault_of_the_task_uses_up_none_of_its_attempts)
+BOOST_AUTO_TEST_CASE(preemption_and_worker_loss_are_not_judged_as_failures)
 {
-  BOOST_TEST(is(task_of({k_stopped}, stop_cause::preempted), attempt_verdict::preempted));
-  BOOST_TEST(is(task_of({k_lapsed}), attempt_verdict::worker_lost));
-  BOOST_TEST(is(task_of({k_stopped, member_run{}}, stop_cause::member_lost),
-                attempt_verdict::gang_member_lost));
+  BOOST_TEST(has_verdict(task_of({k_stopped}, stop_cause::preempted), attempt_verdict::preempted));
+  BOOST_TEST(has_verdict(task_of({k_lapsed}), attempt_verdict::worker_lost));
+  BOOST_TEST(has_verdict(task_of({k_stopped, member_run{}}, stop_cause::member_lost),
+                         attempt_verdict::gang_member_lost));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Decision/WorkerLedgerTest.cpp
+++ b/Source/UnitTests/Decision/WorkerLedgerTest.cpp
@@ -34,7 +34,7 @@
   BOOST_TEST(ledger.room().connections == 64);
 }
 
-BOOST_AUTO_TEST_CASE(measured_use_only_takes_room_away)
+BOOST_AUTO_TEST_CASE(measured_use_only_reduces_free_capacity)
 {
   const scheduling_options options;
   worker_ledger ledger(sample_worker(), options);
@@ -50,7 +50,7 @@
   BOOST_TEST(ledger.room().memory_mib == 32768);
 }
 
-BOOST_AUTO_TEST_CASE(a_drained_or_leaving_or_suspect_worker_has_no_room)
+BOOST_AUTO_TEST_CASE(a_drained_or_leaving_or_suspect_worker_has_no_free_capacity)
 {
   const scheduling_options options;
   const time_point now{std::chrono::seconds{1}};
@@ -66,7 +66,7 @@
   ledger.refresh(now);
   BOOST_TEST(ledger.room().slots < 0);
   ledger.refresh(now + options.circuit_open);
-  BOOST_TEST(ledger.room().slots == 8); // for a probe
+  BOOST_TEST(ledger.room().slots == 8); // the worker admits a probe
   ledger.circuit().succeeded();
   ledger.refresh(now);
   BOOST_TEST(ledger.room().slots == 8);
