--- a/Source/UnitTests/Model/LastingCell.h
+++ b/Source/UnitTests/Model/LongRunningCell.h
@@ -16,9 +16,10 @@
 
 inline constexpr std::uint32_t k_lasting_tasks = 6;
 
-struct lasting_cell
+struct long_running_cell
 {
-  explicit lasting_cell(std::uint64_t seed, std::optional<processor_costs> costs = std::nullopt)
+  explicit long_running_cell(std::uint64_t seed,
+                             std::optional<processor_costs> costs = std::nullopt)
       : cell(seed, 1, costs)
   {
     pass(seconds{3});
@@ -39,7 +40,7 @@
   void pass(milliseconds span) { cell.time().run_until(cell.time().now() + span); }
 
   // No more than this many: others have to have room.
-  void lose_busy_workers(std::size_t most)
+  void crash_busy_workers(std::size_t most)
   {
     const std::set<std::string> busy = cell.judge().busy_workers();
     for (fleet_worker& each : cell.workers())
--- a/Source/UnitTests/Model/OwnerLostWithWorkersTest.cpp
+++ b/Source/UnitTests/Model/OwnerLostWithWorkersTest.cpp
@@ -9,11 +9,11 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "UnitTests/Model/LastingCell.h"
+#include "UnitTests/Model/LongRunningCell.h"
 
 using namespace yardhill;
 using model::k_lasting_tasks;
-using model::lasting_cell;
+using model::long_running_cell;
 using std::chrono::milliseconds;
 
 BOOST_AUTO_TEST_SUITE(OwnerLostWithWorkersTest)
@@ -22,8 +22,8 @@
 {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U})
   {
-    lasting_cell play(seed);
-    play.lose_busy_workers(2);
+    long_running_cell play(seed);
+    play.crash_busy_workers(2);
     play.replace_owner();
     play.pass(milliseconds{10000});
     BOOST_TEST(play.running() == k_lasting_tasks, "seed " << seed);
@@ -36,8 +36,8 @@
 {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U})
   {
-    lasting_cell play(seed);
-    play.lose_busy_workers(2);
+    long_running_cell play(seed);
+    play.crash_busy_workers(2);
     play.owner().time->freeze_until(play.cell.time().now() + milliseconds{1500});
     play.pass(milliseconds{11500});
     BOOST_TEST(play.running() == k_lasting_tasks, "seed " << seed);
--- a/Source/UnitTests/Model/OwnersLostInSeriesTest.cpp
+++ b/Source/UnitTests/Model/OwnersLostInSeriesTest.cpp
@@ -10,11 +10,11 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "UnitTests/Model/LastingCell.h"
+#include "UnitTests/Model/LongRunningCell.h"
 
 using namespace yardhill;
 using model::k_lasting_tasks;
-using model::lasting_cell;
+using model::long_running_cell;
 using std::chrono::milliseconds;
 
 BOOST_AUTO_TEST_SUITE(OwnersLostInSeriesTest)
@@ -24,8 +24,8 @@
 {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U})
   {
-    lasting_cell play(seed);
-    play.lose_busy_workers(2);
+    long_running_cell play(seed);
+    play.crash_busy_workers(2);
     play.pass(milliseconds{3500});
     play.replace_owner();
     play.pass(milliseconds{3000});
@@ -42,8 +42,8 @@
 {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U})
   {
-    lasting_cell play(seed);
-    play.lose_busy_workers(2);
+    long_running_cell play(seed);
+    play.crash_busy_workers(2);
     play.replace_owner();
     for (unsigned i = 0; i < 3; ++i)
     {
--- a/Source/UnitTests/Model/RestartedWorkerTest.cpp
+++ b/Source/UnitTests/Model/RestartedWorkerTest.cpp
@@ -14,7 +14,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "Common/EventLog.h"
-#include "UnitTests/Model/LastingCell.h"
+#include "UnitTests/Model/LongRunningCell.h"
 
 using namespace yardhill;
 using namespace yardhill::model;
--- a/Source/UnitTests/Model/SlowOwnerTest.cpp
+++ b/Source/UnitTests/Model/SlowOwnerTest.cpp
@@ -5,7 +5,7 @@
 // renewals and what it says to its peers were. Each takeover made more work for the next owner,
 // which was later still, until leases lapsed and tasks that last did not run.
 
-#include "UnitTests/Model/LastingCell.h"
+#include "UnitTests/Model/LongRunningCell.h"
 
 using namespace yardhill;
 using namespace yardhill::model;
@@ -27,9 +27,9 @@
   return costs;
 }
 
-struct busy_cell : lasting_cell
+struct busy_cell : long_running_cell
 {
-  explicit busy_cell(std::uint64_t seed) : lasting_cell(seed, slow_processor())
+  explicit busy_cell(std::uint64_t seed) : long_running_cell(seed, slow_processor())
   {
     takeovers_before = takeovers();
   }
--- a/Source/UnitTests/Model/SuspendedOwnerTest.cpp
+++ b/Source/UnitTests/Model/SuspendedOwnerTest.cpp
@@ -9,7 +9,7 @@
 
 #include <algorithm>
 
-#include "UnitTests/Model/LastingCell.h"
+#include "UnitTests/Model/LongRunningCell.h"
 
 using namespace yardhill;
 using namespace yardhill::model;
@@ -20,7 +20,7 @@
 constexpr milliseconds k_just_awake{40};
 
 // How many calls workers get from the owner just after it has woken.
-std::size_t calls_after_waking(lasting_cell& play)
+std::size_t calls_after_waking(long_running_cell& play)
 {
   const explored_instance& owner = play.owner();
   std::size_t calls = 0;
@@ -54,7 +54,7 @@
 {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U})
   {
-    lasting_cell play(seed);
+    long_running_cell play(seed);
     BOOST_TEST(calls_after_waking(play) == 0U);
     BOOST_TEST(play.cell.judge().violations().empty());
   }
@@ -63,7 +63,7 @@
 // The play shows the fault that it is there for.
 BOOST_AUTO_TEST_CASE(with_a_clock_that_stands_still_it_would_go_on)
 {
-  lasting_cell play(1);
+  long_running_cell play(1);
   play.cell.read_suspended_clocks();
   BOOST_TEST(calls_after_waking(play) > 0U);
 }
