--- a/Source/Core/Model/CallerModel.cpp
+++ b/Source/Core/Model/CallerModel.cpp
@@ -118,13 +118,13 @@
   return spec;
 }
 
-void caller_model::hand_in_until(time_point end)
+void caller_model::submit_jobs_until(time_point end)
 {
   if (m_time.now() > end)
     return;
   hand_in();
   m_time.schedule(draw_time(milliseconds(50), milliseconds(400)),
-                  [this, end] { hand_in_until(end); });
+                  [this, end] { submit_jobs_until(end); });
 }
 
 void caller_model::burst(std::uint64_t jobs, milliseconds time)
@@ -157,7 +157,7 @@
   return id;
 }
 
-void caller_model::hand_in_crashing(std::uint64_t jobs)
+void caller_model::submit_crashing(std::uint64_t jobs)
 {
   for (std::uint64_t i = 0; i < jobs; ++i)
   {
@@ -170,7 +170,7 @@
   }
 }
 
-std::string caller_model::hand_in_crashing(const jobs::job_spec& spec, duration after)
+std::string caller_model::submit_crashing(const jobs::job_spec& spec, duration after)
 {
   std::string id = hand_in(spec);
   crash_at(id, 0, 0, after);
@@ -184,7 +184,7 @@
   {
     const task_ref task{id, {cycle, step, index}};
     m_crashes[task] = after;
-    m_judge.expect_crashes(task);
+    m_judge.expect_worker_crashes(task);
   }
 }
 
@@ -204,7 +204,7 @@
   return id;
 }
 
-void caller_model::hand_in_lasting()
+void caller_model::submit_long_running()
 {
   jobs::step_spec step;
   step.count = k_lasting_tasks;
@@ -272,7 +272,7 @@
 void caller_model::cancel(const std::string& id, unsigned tries)
 {
   const auto answered = std::make_shared<bool>(false);
-  m_judge.cancel_asked(id);
+  m_judge.cancel_requested(id);
   m_carry({http::method::remove, k_host, m_prefixes[id] + id, "", k_patience_ms},
           [this, id, answered](const http::outgoing_reply& answer)
           {
@@ -288,7 +288,7 @@
                   });
 }
 
-void caller_model::ask_all()
+void caller_model::query_all()
 {
   for (const auto& [id, prefix] : m_prefixes)
     m_carry({http::method::get, k_host, prefix + id, "", k_patience_ms},
--- a/Source/Core/Model/CellExplorer.h
+++ b/Source/Core/Model/CellExplorer.h
@@ -16,15 +16,15 @@
 enum class omission
 {
   none,
-  claims_forgotten, // a new owner finds no claims of workers
-  begun_forgotten   // a new owner finds no step begun
+  claims_omitted, // a new owner finds no claims of workers
+  progress_omitted   // a new owner finds no step begun
 };
 
 // Whether workers start again under the ids that they had, besides a seed's other troubles.
 enum class restarts
 {
   none,
-  under_one_id
+  same_id
 };
 
 struct exploration
--- a/Source/Core/Model/CountJudge.h
+++ b/Source/Core/Model/CountJudge.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "Http/HttpListener.h"
-#include "Model/ContactWatch.h"
+#include "Model/ConnectivityMonitor.h"
 #include "Model/ExploredCell.h"
 
 namespace yardhill::model
@@ -29,7 +29,7 @@
   std::size_t unknown() const { return m_unknown; }
 
 private:
-  void ask_all();
+  void query_all();
   void ask(explored_instance& which, const std::string& prefix);
   void on_answer(const explored_instance& which, const std::string& prefix, std::uint64_t waiting,
                  const http::outgoing_reply& answer);
@@ -39,7 +39,7 @@
 
   explored_cell& m_cell;
   time_point m_end;
-  contact_watch m_contacts;
+  connectivity_monitor m_contacts;
   std::vector<std::string> m_violations;
   std::size_t m_counted = 0;
   std::size_t m_unknown = 0;
--- a/Source/Core/Model/RunJudge.h
+++ b/Source/Core/Model/RunJudge.h
@@ -57,7 +57,7 @@
   void tried(const std::string& job);
   // What became of the latest call; 0: there was no answer.
   void answered(const std::string& job, unsigned status);
-  void cancel_asked(const std::string& job);
+  void cancel_requested(const std::string& job);
   // Nobody cancels it, and its tasks may run on any worker.
   void expect_to_last(const std::string& job) { m_lasting.insert(job); }
   // The caller was told that it is cancelled.
@@ -72,12 +72,12 @@
   void saved(const task_ref& task, const std::string& checkpoint);
   void acknowledged(const task_ref& task, run_number run, run_outcome how, common::time_point at);
   // All instances reach the store and the workers throughout.
-  void expect_contact() { m_in_touch = true; }
+  void expect_connectivity() { m_in_touch = true; }
   void worker_gone(const std::string& worker);
   // The worker has been crashed by what it ran, or by chance.
   void worker_crashed(const std::string& worker);
   // The task crashes each worker that starts it; its job can't be done.
-  void expect_crashes(const task_ref& task) { m_tasks[task].crashes_workers = true; }
+  void expect_worker_crashes(const task_ref& task) { m_tasks[task].crashes_workers = true; }
   // The store has taken the worker's word that it is about to leave.
   void worker_leaving(const std::string& worker, common::time_point at);
   // Another writer has put something in place of the worker's entry, and it is its own again.
@@ -124,7 +124,7 @@
     bool accepted = false;
     bool refused = false; // the latest call; nothing may come of it or of earlier ones
     bool started = false;
-    bool cancel_asked = false;
+    bool cancel_requested = false;
     std::optional<common::time_point> cancelled_at;
     std::optional<common::time_point> completed_at; // it was first shown so
   };
--- a/Source/StandIns/CellStandIn.cpp
+++ b/Source/StandIns/CellStandIn.cpp
@@ -119,7 +119,7 @@
             { return course_of(task, run); },
             m_specs)
   {
-    m_fleet.set_life_planner([this] { return std::exchange(m_next_life, {}); });
+    m_fleet.set_incarnation_planner([this] { return std::exchange(m_next_life, {}); });
     m_fleet.set_crash_handler([this](model::fleet_worker& worker) { worker_crashed(worker); });
     listen(io, 0,
            [this](const incoming_request& request, responder respond)
@@ -297,14 +297,14 @@
       m_specs[id] = *spec;
       m_judge.submitted(id, *spec, k_max_attempts);
       if (spec->payload == k_crashing_payload)
-        m_judge.expect_crashes({id, {}});
+        m_judge.expect_worker_crashes({id, {}});
     }
     else if (what == "answers")
       m_judge.answered(id, static_cast<unsigned>(std::stoul(words.at(3))));
     else if (what == "states")
       m_judge.shown(id, state_named(words.at(3)).value());
     else if (what == "cancel")
-      m_judge.cancel_asked(id);
+      m_judge.cancel_requested(id);
     else if (what == "cancelled")
       m_judge.cancelled(id, m_time.now());
     else
@@ -316,13 +316,13 @@
   {
     const std::string& what = words.at(1);
     if (what == "slow")
-      m_store.set_pace(milliseconds(std::stol(words.at(2))));
+      m_store.set_transaction_time(milliseconds(std::stol(words.at(2))));
     else if (what == "limited")
       m_calls_per_second = std::stoull(words.at(2));
     else if (what == "parts")
       m_store.silence_parts(names_in(words.size() > 2 ? words[2] : ""));
     else if (what == "forget")
-      m_store.forget_history();
+      m_store.discard_history();
     else
       return set_answers_of_store(what);
     return {};
@@ -423,7 +423,7 @@
   model::advice_model m_advice;
   std::map<std::string, jobs::job_spec> m_specs;
   model::worker_fleet m_fleet;
-  model::life_plan m_next_life;
+  model::incarnation_plan m_next_life;
   std::string m_store_fault = "works";
   std::uint64_t m_calls_per_second = 0; // to the store, before it turns calls away; 0: no limit
   std::uint64_t m_calls_of_second = 0;
--- a/Source/UnitTests/Model/CrashingTaskTest.cpp
+++ b/Source/UnitTests/Model/CrashingTaskTest.cpp
@@ -57,7 +57,7 @@
     jobs::job_spec spec;
     spec.payload = "payload";
     spec.steps = steps;
-    m_crashing_job_ids.push_back(cell.callers().hand_in_crashing(spec, after));
+    m_crashing_job_ids.push_back(cell.callers().submit_crashing(spec, after));
   }
 
   void replace_owner_every(duration period)
@@ -74,9 +74,9 @@
   // Submits other jobs, runs until every job should have ended, and checks the result.
   void finish()
   {
-    cell.callers().hand_in_until(cell.time().now() + k_submission_period);
+    cell.callers().submit_jobs_until(cell.time().now() + k_submission_period);
     run_for(k_observation_time);
-    cell.callers().ask_all();
+    cell.callers().query_all();
     run_for(k_query_time);
     cell.judge().check_all_ended(cell.callers().states());
     BOOST_TEST(cell.judge().violations().empty(), violation_text());
--- a/Source/UnitTests/Model/ExplorerTest.cpp
+++ b/Source/UnitTests/Model/ExplorerTest.cpp
@@ -88,7 +88,7 @@
        {17U, 23U, 31U, 72U, 79U, 96U, 111U, 114U, 122U, 950015U, 950016U, 950031U, 950049U, 950058U,
         950107U, 950113U, 950124U, 950150U, 950155U})
   {
-    const exploration result = explore_cell(seed, omission::none, restarts::under_one_id);
+    const exploration result = explore_cell(seed, omission::none, restarts::same_id);
     const auto is_job_failure = [](const std::string& each)
     { return each.starts_with("INNOCENT") || each.starts_with("LOST"); };
     BOOST_TEST(std::none_of(result.violations.begin(), result.violations.end(), is_job_failure),
@@ -127,7 +127,7 @@
   const seed_range range = selected_seeds();
   for (std::uint64_t seed = range.first; seed < range.first + range.count; ++seed)
   {
-    const exploration result = explore_cell(seed, omission::none, restarts::under_one_id);
+    const exploration result = explore_cell(seed, omission::none, restarts::same_id);
     BOOST_TEST(result.violations.empty(), failure_text(seed, result));
   }
 }
@@ -155,7 +155,7 @@
   // one.
   std::size_t detected = 0;
   for (std::uint64_t seed = 1500; seed <= 2100 && detected == 0; ++seed)
-    detected += explore_cell(seed, omission::claims_forgotten).violations.empty() ? 0 : 1;
+    detected += explore_cell(seed, omission::claims_omitted).violations.empty() ? 0 : 1;
   BOOST_TEST(detected > 0U);
 }
 
@@ -163,7 +163,7 @@
 {
   std::size_t detected = 0;
   for (std::uint64_t seed = 1; seed <= 120 && detected == 0; ++seed)
-    detected += explore_cell(seed, omission::begun_forgotten).violations.empty() ? 0 : 1;
+    detected += explore_cell(seed, omission::progress_omitted).violations.empty() ? 0 : 1;
   BOOST_TEST(detected > 0U);
 }
 
--- a/Source/UnitTests/Model/LateCopyTest.cpp
+++ b/Source/UnitTests/Model/LateCopyTest.cpp
@@ -48,17 +48,17 @@
     explored_cell cell(seed);
     const auto run_for = [&cell](duration span)
     { cell.time().run_until(cell.time().now() + span); };
-    cell.judge().expect_contact();
+    cell.judge().expect_connectivity();
     run_for(seconds{3});
-    cell.network().troubles.orders_late = 0.6;
+    cell.network().troubles.delayed_worker_call_share = 0.6;
     for (std::size_t i = 0; i < k_job_count; ++i)
     {
       cell.callers().hand_in(speculative_job());
       run_for(milliseconds{300});
     }
-    cell.network().troubles.orders_late = 0.0;
+    cell.network().troubles.delayed_worker_call_share = 0.0;
     run_for(seconds{40});
-    cell.callers().ask_all();
+    cell.callers().query_all();
     run_for(seconds{3});
     cell.judge().check_all_ended(cell.callers().states());
     std::string violation_text;
@@ -78,20 +78,20 @@
     explored_cell cell(seed);
     const auto run_for = [&cell](duration span)
     { cell.time().run_until(cell.time().now() + span); };
-    cell.judge().expect_contact();
+    cell.judge().expect_connectivity();
     run_for(seconds{3});
-    cell.network().troubles.orders_late = 0.4;
+    cell.network().troubles.delayed_worker_call_share = 0.4;
     for (std::size_t i = 0; i < k_job_count; ++i)
     {
       cell.callers().hand_in(speculative_job());
       run_for(milliseconds{300});
-      cell.callers().ask_all();
+      cell.callers().query_all();
     }
-    cell.network().troubles.orders_late = 0.0;
+    cell.network().troubles.delayed_worker_call_share = 0.0;
     for (int i = 0; i < 80; ++i)
     {
       run_for(milliseconds{500});
-      cell.callers().ask_all();
+      cell.callers().query_all();
     }
     cell.judge().check_all_ended(cell.callers().states());
     std::string violation_text;
--- a/Source/UnitTests/Model/PartitionsTest.cpp
+++ b/Source/UnitTests/Model/PartitionsTest.cpp
@@ -83,7 +83,7 @@
     max_active_runs = std::max(max_active_runs, cell.judge().active_runs());
   }
   BOOST_TEST(max_active_runs == 16U);
-  cell.callers().ask_all();
+  cell.callers().query_all();
   run_for(seconds{1});
   BOOST_TEST((cell.callers().states().at(id) == jobs::job_state::active));
   BOOST_TEST(cell.judge().violations().empty());
--- a/Source/UnitTests/Model/RestartedWorkerTest.cpp
+++ b/Source/UnitTests/Model/RestartedWorkerTest.cpp
@@ -34,7 +34,7 @@
   {
     if (std::getenv("YARDHILL_LOG") != nullptr)
       common::open_event_log("restarted-" + std::to_string(seed));
-    cell.fleet().set_life_planner([initial_clock] { return life_plan{true, initial_clock, {}}; });
+    cell.fleet().set_incarnation_planner([initial_clock] { return incarnation_plan{true, initial_clock, {}}; });
     run_for(seconds{3});
   }
 
@@ -69,7 +69,7 @@
   void check_at_end()
   {
     run_for(k_observation_time);
-    cell.callers().ask_all();
+    cell.callers().query_all();
     run_for(k_query_time);
     cell.judge().check_all_ended(cell.callers().states());
     std::string violation_text;
@@ -110,7 +110,7 @@
   for (std::uint64_t seed = 1; seed <= k_seed_count; ++seed)
   {
     restarted_cell scenario(seed, std::chrono::hours{2});
-    scenario.cell.callers().hand_in_until(scenario.cell.time().now() + k_submission_period);
+    scenario.cell.callers().submit_jobs_until(scenario.cell.time().now() + k_submission_period);
     for (int i = 0; i < 3; ++i)
     {
       scenario.run_for(seconds{5});
@@ -143,7 +143,7 @@
     {
       restarted_cell scenario(seed, milliseconds{0});
       submit_long_running_job(scenario);
-      scenario.cell.callers().hand_in_until(scenario.cell.time().now() + k_submission_period);
+      scenario.cell.callers().submit_jobs_until(scenario.cell.time().now() + k_submission_period);
       scenario.run_for(seconds{8});
       scenario.restart_workers(milliseconds{700});
       scenario.run_for(takeover_delay);
@@ -161,8 +161,8 @@
     jobs::job_spec spec;
     spec.payload = "payload";
     spec.steps = {step_of(3)};
-    const std::string id = scenario.cell.callers().hand_in_crashing(spec, milliseconds{10});
-    scenario.cell.callers().hand_in_until(scenario.cell.time().now() + k_submission_period);
+    const std::string id = scenario.cell.callers().submit_crashing(spec, milliseconds{10});
+    scenario.cell.callers().submit_jobs_until(scenario.cell.time().now() + k_submission_period);
     scenario.check_at_end();
     BOOST_TEST((scenario.cell.callers().states().at(id) == jobs::job_state::failed), id);
   }
@@ -174,13 +174,13 @@
   for (std::uint64_t seed = 1; seed <= k_seed_count; ++seed)
   {
     restarted_cell scenario(seed, milliseconds{0});
-    scenario.cell.callers().hand_in_until(scenario.cell.time().now() + k_submission_period);
+    scenario.cell.callers().submit_jobs_until(scenario.cell.time().now() + k_submission_period);
     scenario.run_for(seconds{3});
-    scenario.cell.network().troubles.orders_late = 0.2;
+    scenario.cell.network().troubles.delayed_worker_call_share = 0.2;
     scenario.run_for(seconds{3});
     scenario.restart_workers(milliseconds{700});
     scenario.run_for(seconds{2});
-    scenario.cell.network().troubles.orders_late = 0.0;
+    scenario.cell.network().troubles.delayed_worker_call_share = 0.0;
     scenario.check_at_end();
   }
 }
--- a/Source/UnitTests/Node/PartitionOwnerTest.cpp
+++ b/Source/UnitTests/Node/PartitionOwnerTest.cpp
@@ -73,12 +73,12 @@
   wire.store.put(node::job_key(id), jobs::to_row_text(job));
   owner.tick(time.now(), begin);
   time.run_until(time.now() + milliseconds{1});
-  wire.store.set_pace(seconds{6}); // longer than the authority lasts
+  wire.store.set_transaction_time(seconds{6}); // longer than the authority lasts
   while (!owner.owns() && time.now() - begin < seconds{60})
     pass(milliseconds{25});
   BOOST_TEST_REQUIRE(owner.owns());
   BOOST_TEST(!owner.written_state(id).has_value());
-  wire.store.set_pace({});
+  wire.store.set_transaction_time({});
   pass(milliseconds{7000});
   BOOST_TEST_REQUIRE(owner.owns());
   BOOST_TEST(owner.written_state(id).has_value());
@@ -151,7 +151,7 @@
   const auto calls_after_loss = [this](bool heard)
   {
     const unsigned before = wire.calls;
-    wire.store.forget_history();
+    wire.store.discard_history();
     time.run_until(time.now() + milliseconds{1});
     if (heard)
       owner.on_store_reachable();
--- a/Source/UnitTests/Node/RefusalTest.cpp
+++ b/Source/UnitTests/Node/RefusalTest.cpp
@@ -77,12 +77,12 @@
   // The job is stored by an instance that is killed before the store's reply reaches it.
   void store_without_reply(std::size_t which)
   {
-    cell.network().troubles.answers_lost = 1.0;
+    cell.network().troubles.lost_store_reply_share = 1.0;
     submit(which);
     run_for(milliseconds{10});
     BOOST_TEST_REQUIRE(!got.has_value());
     cell.end_instance(instance(which));
-    cell.network().troubles.answers_lost = 0.0;
+    cell.network().troubles.lost_store_reply_share = 0.0;
     send_request(which + 1, http::method::get, {});
     run_for(milliseconds{50});
     BOOST_TEST_REQUIRE(got.has_value());
@@ -167,7 +167,7 @@
 // rejected; the job's row appears a second later.
 BOOST_FIXTURE_TEST_CASE(a_submission_queued_in_the_store_is_not_refused, refusing)
 {
-  cell.store().set_pace(milliseconds{250});
+  cell.store().set_transaction_time(milliseconds{250});
   fill_part(4);
   submit(0);
   run_for(milliseconds{10});
@@ -176,7 +176,7 @@
   run_for(seconds{3});
   BOOST_TEST_REQUIRE(got.has_value());
   BOOST_TEST(got->status != k_unavailable);
-  cell.store().set_pace({});
+  cell.store().set_transaction_time({});
   submit(2);
   run_for(seconds{1});
   BOOST_TEST(got->status == 200U);
@@ -247,7 +247,7 @@
 // end of the process.
 BOOST_FIXTURE_TEST_CASE(a_stopping_instance_answers_before_its_process_ends, refusing)
 {
-  cell.network().troubles.answers_lost = 1.0;
+  cell.network().troubles.lost_store_reply_share = 1.0;
   instance(0).core->begin_stop(milliseconds{1000});
   run_for(milliseconds{300});
   submit(0);
