--- a/Source/Core/Model/CallerModel.cpp
+++ b/Source/Core/Model/CallerModel.cpp
@@ -118,13 +118,13 @@
   return spec;
 }
 
-void caller_model::hand_in_until(time_point end)
+void caller_model::submit_jobs_until(time_point end)
 {
   if (m_time.now() > end)
     return;
   hand_in();
   m_time.schedule(draw_time(milliseconds(50), milliseconds(400)),
-                  [this, end] { hand_in_until(end); });
+                  [this, end] { submit_jobs_until(end); });
 }
 
 void caller_model::burst(std::uint64_t jobs, milliseconds time)
@@ -157,7 +157,7 @@
   return id;
 }
 
-void caller_model::hand_in_crashing(std::uint64_t jobs)
+void caller_model::submit_crashing(std::uint64_t jobs)
 {
   for (std::uint64_t i = 0; i < jobs; ++i)
   {
@@ -170,7 +170,7 @@
   }
 }
 
-std::string caller_model::hand_in_crashing(const jobs::job_spec& spec, duration after)
+std::string caller_model::submit_crashing(const jobs::job_spec& spec, duration after)
 {
   std::string id = hand_in(spec);
   crash_at(id, 0, 0, after);
@@ -204,7 +204,7 @@
   return id;
 }
 
-void caller_model::hand_in_lasting()
+void caller_model::submit_long_running()
 {
   jobs::step_spec step;
   step.count = k_lasting_tasks;
--- a/Source/Core/Model/CallerModel.h
+++ b/Source/Core/Model/CallerModel.h
@@ -33,7 +33,7 @@
   caller_model(virtual_time& time, std::uint64_t seed, run_judge& judge, carrier carry);
 
   // Jobs come from now on until `end`.
-  void hand_in_until(time_point end);
+  void submit_jobs_until(time_point end);
   // So many jobs more, spread over that time.
   void burst(std::uint64_t jobs, std::chrono::milliseconds time);
   // Jobs of that queue which were accepted by then and have not begun; nobody has cancelled them.
@@ -41,14 +41,14 @@
   // One job of that kind, for a queue whose tasks may run anywhere. Returns its id.
   std::string hand_in(const jobs::job_spec& spec);
   // So many jobs of any kind, one task of each of which crashes its workers.
-  void hand_in_crashing(std::uint64_t jobs);
+  void submit_crashing(std::uint64_t jobs);
   // The same of a job of that kind: its first step's first task, so long after its start. Returns
   // its id.
-  std::string hand_in_crashing(const jobs::job_spec& spec, duration after);
+  std::string submit_crashing(const jobs::job_spec& spec, duration after);
   // How long after its start the task crashes its worker, if it does.
   std::optional<duration> crashes_after(const task_ref& task) const;
   // One whose tasks last until the play ends.
-  void hand_in_lasting();
+  void submit_long_running();
   // Asks for every job; the answers go to the judge.
   void ask_all();
   const std::map<std::string, jobs::job_spec>& specs() const { return m_specs; }
--- a/Source/Core/Model/CancelJudge.cpp
+++ b/Source/Core/Model/CancelJudge.cpp
@@ -36,8 +36,9 @@
 
 bool cancel_judge::calm() const
 {
-  const network_troubles& troubles = m_cell.network().troubles;
-  return troubles.cuts.empty() && troubles.orders_lost == 0.0 && troubles.orders_late == 0.0 &&
+  const network_faults& troubles = m_cell.network().troubles;
+  return troubles.cuts.empty() && troubles.lost_worker_reply_share == 0.0 &&
+         troubles.delayed_worker_call_share == 0.0 &&
          std::ranges::all_of(m_cell.instances(), [this](const explored_instance& each)
                              { return m_contacts.in_touch(each); });
 }
--- a/Source/Core/Model/CancelJudge.h
+++ b/Source/Core/Model/CancelJudge.h
@@ -7,7 +7,7 @@
 // the cell for a while, no run may be left that had begun by then, whoever started it, and whether
 // or not its worker carried the order out late.
 
-#include "Model/ContactWatch.h"
+#include "Model/ConnectivityMonitor.h"
 #include "Model/ExploredCell.h"
 
 namespace yardhill::model
@@ -24,7 +24,7 @@
 
   explored_cell& m_cell;
   time_point m_end;
-  contact_watch m_contacts;
+  connectivity_monitor m_contacts;
   time_point m_calm_since;
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/CellExplorer.cpp
+++ b/Source/Core/Model/CellExplorer.cpp
@@ -8,7 +8,7 @@
 #include "Common/EventLog.h"
 #include "Common/PlayLog.h"
 #include "Model/CancelJudge.h"
-#include "Model/CellTroubles.h"
+#include "Model/CellFaults.h"
 #include "Model/CountJudge.h"
 #include "Model/ExploredCell.h"
 
@@ -76,7 +76,7 @@
   }
 }
 
-void watch_lasting(explored_cell& cell, const cell_troubles& troubles)
+void watch_lasting(explored_cell& cell, const cell_faults& troubles)
 {
   cell.judge().check_lasting(usable_workers(cell), cell.time().now(), troubles.disturbed_until());
   cell.time().schedule(k_look_period, [&cell, &troubles] { watch_lasting(cell, troubles); });
@@ -87,12 +87,12 @@
 {
   explored_cell cell(seed, partitions);
   const logged_time logged(cell);
-  cell_troubles troubles(cell, without);
+  cell_faults troubles(cell, without);
   cell.time().schedule(k_first_job,
                        [&cell]
                        {
-                         cell.callers().hand_in_lasting();
-                         cell.callers().hand_in_until(cell.begin() + k_troubled);
+                         cell.callers().submit_long_running();
+                         cell.callers().submit_jobs_until(cell.begin() + k_troubled);
                        });
   watch_lasting(cell, troubles);
   const count_judge counts(cell, cell.begin() + k_length);
--- a/Source/Core/Model/CellTroubles.cpp
+++ b/Source/Core/Model/CellFaults.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Model/CellTroubles.h"
+#include "Model/CellFaults.h"
 
 #include <algorithm>
 #include <array>
@@ -33,12 +33,11 @@
 constexpr milliseconds k_entries_back{1500};
 } // namespace
 
-cell_troubles::cell_troubles(explored_cell& cell, omission without)
-    : m_cell(cell), m_without(without)
+cell_faults::cell_faults(explored_cell& cell, omission without) : m_cell(cell), m_without(without)
 {
 }
 
-void cell_troubles::note(const std::string& what)
+void cell_faults::note(const std::string& what)
 {
   const auto at = std::chrono::duration_cast<milliseconds>(m_cell.time().now() - m_cell.begin());
   m_told.push_back(std::to_string(at.count()) + " ms: " + what);
@@ -46,12 +45,12 @@
   lasts({});
 }
 
-void cell_troubles::lasts(duration time)
+void cell_faults::lasts(duration time)
 {
   m_disturbed_until = std::max(m_disturbed_until, m_cell.time().now() + time);
 }
 
-void cell_troubles::draw()
+void cell_faults::draw()
 {
   const std::uint64_t count = 2 + m_cell.draw(5);
   for (std::uint64_t i = 0; i < count; ++i)
@@ -59,41 +58,41 @@
                            [this] { befall(); });
 }
 
-void cell_troubles::befall()
+void cell_faults::befall()
 {
-  using kind = void (cell_troubles::*)();
-  static constexpr std::array<kind, 28> k_kinds{&cell_troubles::kill_owner,
-                                                &cell_troubles::kill_all,
-                                                &cell_troubles::stop_one,
-                                                &cell_troubles::freeze_one,
-                                                &cell_troubles::cut_from_store,
-                                                &cell_troubles::store_away,
-                                                &cell_troubles::lose_answers,
-                                                &cell_troubles::lose_orders,
-                                                &cell_troubles::late_orders,
-                                                &cell_troubles::crash_worker,
-                                                &cell_troubles::drain_worker,
-                                                &cell_troubles::cut_worker,
-                                                &cell_troubles::cut_zone,
-                                                &cell_troubles::forget_history,
-                                                &cell_troubles::silence_parts,
-                                                &cell_troubles::step_clock,
-                                                &cell_troubles::slow_one,
-                                                &cell_troubles::slow_store,
-                                                &cell_troubles::reborn_worker,
-                                                &cell_troubles::reuse_address,
-                                                &cell_troubles::lose_owners_in_series,
-                                                &cell_troubles::lose_owners_under_burst,
-                                                &cell_troubles::turn_away,
-                                                &cell_troubles::kill_in_series,
-                                                &cell_troubles::break_entries,
-                                                &cell_troubles::hand_in_crashing,
-                                                &cell_troubles::shrink_rooms,
-                                                &cell_troubles::suspend_one};
+  using kind = void (cell_faults::*)();
+  static constexpr std::array<kind, 28> k_kinds{&cell_faults::kill_owner,
+                                                &cell_faults::kill_all,
+                                                &cell_faults::stop_one,
+                                                &cell_faults::freeze_one,
+                                                &cell_faults::cut_from_store,
+                                                &cell_faults::store_away,
+                                                &cell_faults::lose_answers,
+                                                &cell_faults::lose_orders,
+                                                &cell_faults::late_orders,
+                                                &cell_faults::crash_worker,
+                                                &cell_faults::drain_worker,
+                                                &cell_faults::cut_worker,
+                                                &cell_faults::cut_zone,
+                                                &cell_faults::forget_history,
+                                                &cell_faults::silence_parts,
+                                                &cell_faults::step_clock,
+                                                &cell_faults::slow_one,
+                                                &cell_faults::slow_store,
+                                                &cell_faults::reborn_worker,
+                                                &cell_faults::reuse_address,
+                                                &cell_faults::lose_owners_in_series,
+                                                &cell_faults::lose_owners_under_burst,
+                                                &cell_faults::turn_away,
+                                                &cell_faults::kill_in_series,
+                                                &cell_faults::break_entries,
+                                                &cell_faults::submit_crashing,
+                                                &cell_faults::shrink_rooms,
+                                                &cell_faults::suspend_one};
   (this->*k_kinds[m_cell.draw(k_kinds.size())])();
 }
 
-void cell_troubles::kill_instance(explored_instance& which, duration down)
+void cell_faults::kill_instance(explored_instance& which, duration down)
 {
   if (!which.up())
     return;
@@ -102,7 +101,7 @@
   start_again(which, down);
 }
 
-void cell_troubles::start_again(explored_instance& which, duration after)
+void cell_faults::start_again(explored_instance& which, duration after)
 {
   m_cell.time().schedule(after,
                          [this, &which]
@@ -112,7 +111,7 @@
                          });
 }
 
-void cell_troubles::stop_one()
+void cell_faults::stop_one()
 {
   explored_instance* const which = m_cell.any_up();
   if (which == nullptr)
@@ -122,14 +121,14 @@
 }
 
 // A planned stop: the process ends once it has handed over, or when its grace is over.
-void cell_troubles::stop(explored_instance& which)
+void cell_faults::stop(explored_instance& which)
 {
   lasts({});
   which.core->begin_stop();
   wait_for_hand_over(which, m_cell.time().now() + k_stop_grace);
 }
 
-void cell_troubles::wait_for_hand_over(explored_instance& which, time_point latest)
+void cell_faults::wait_for_hand_over(explored_instance& which, time_point latest)
 {
   if (!which.up())
     return; // killed meanwhile
@@ -142,7 +141,7 @@
                          [this, &which, latest] { wait_for_hand_over(which, latest); });
 }
 
-void cell_troubles::kill_owner()
+void cell_faults::kill_owner()
 {
   for (explored_instance& each : m_cell.instances())
   {
@@ -155,7 +154,7 @@
   }
 }
 
-void cell_troubles::kill_all()
+void cell_faults::kill_all()
 {
   note("kill all instances");
   forget_mechanism();
@@ -163,7 +162,7 @@
     kill_instance(each, m_cell.draw_time(milliseconds(300), milliseconds(2000)));
 }
 
-void cell_troubles::freeze_one()
+void cell_faults::freeze_one()
 {
   explored_instance* const which = m_cell.any_up();
   if (which == nullptr)
@@ -175,7 +174,7 @@
 }
 
 // A machine stands still as in a freeze, and its timers do not count that time.
-void cell_troubles::suspend_one()
+void cell_faults::suspend_one()
 {
   explored_instance* const which = m_cell.any_up();
   if (which == nullptr)
@@ -186,7 +185,7 @@
   which->time->suspend_until(m_cell.time().now() + time);
 }
 
-void cell_troubles::cut_for(const cut_pairs& pairs, duration time)
+void cell_faults::cut_for(const cut_pairs& pairs, duration time)
 {
   lasts(time + k_entries_back);
   for (const auto& pair : pairs)
@@ -228,14 +227,14 @@
                          });
 }
 
-void cell_troubles::cut_from_store()
+void cell_faults::cut_from_store()
 {
   explored_instance& which = m_cell.instances()[m_cell.draw(m_cell.instances().size())];
   note("cut from the store: " + which.name);
   cut_for({{which.name, "store"}}, m_cell.draw_time(milliseconds(1000), milliseconds(9000)));
 }
 
-void cell_troubles::store_away()
+void cell_faults::store_away()
 {
   note("store away");
   cut_pairs pairs;
@@ -246,41 +245,44 @@
   cut_for(pairs, m_cell.draw_time(milliseconds(1000), milliseconds(7500)));
 }
 
-void cell_troubles::lose_answers()
+void cell_faults::lose_answers()
 {
   note("answers of the store are lost");
   lasts(seconds(4));
-  m_cell.network().troubles.answers_lost = 0.3;
-  m_cell.time().schedule(seconds(4), [this] { m_cell.network().troubles.answers_lost = 0.0; });
+  m_cell.network().troubles.lost_store_reply_share = 0.3;
+  m_cell.time().schedule(seconds(4),
+                         [this] { m_cell.network().troubles.lost_store_reply_share = 0.0; });
 }
 
-void cell_troubles::lose_orders()
+void cell_faults::lose_orders()
 {
   note("answers of workers are lost");
   lasts(seconds(4));
-  m_cell.network().troubles.orders_lost = 0.1;
-  m_cell.time().schedule(seconds(4), [this] { m_cell.network().troubles.orders_lost = 0.0; });
+  m_cell.network().troubles.lost_worker_reply_share = 0.1;
+  m_cell.time().schedule(seconds(4),
+                         [this] { m_cell.network().troubles.lost_worker_reply_share = 0.0; });
 }
 
-void cell_troubles::late_orders()
+void cell_faults::late_orders()
 {
   note("orders are carried out late");
   lasts(seconds(5));
-  m_cell.network().troubles.orders_late = 0.05;
-  m_cell.time().schedule(seconds(5), [this] { m_cell.network().troubles.orders_late = 0.0; });
+  m_cell.network().troubles.delayed_worker_call_share = 0.05;
+  m_cell.time().schedule(seconds(5),
+                         [this] { m_cell.network().troubles.delayed_worker_call_share = 0.0; });
 }
 
 // Each transaction takes some 200 ms, and the store turns more away.
-void cell_troubles::slow_store()
+void cell_faults::slow_store()
 {
   note("the store is slow");
   lasts(seconds(6));
-  m_cell.store().set_pace(m_cell.draw_time(milliseconds(100), milliseconds(250)));
+  m_cell.store().set_transaction_time(m_cell.draw_time(milliseconds(100), milliseconds(250)));
   m_cell.time().schedule(m_cell.draw_time(milliseconds(3000), milliseconds(6000)),
-                         [this] { m_cell.store().set_pace({}); });
+                         [this] { m_cell.store().set_transaction_time({}); });
 }
 
-void cell_troubles::cut_zone()
+void cell_faults::cut_zone()
 {
   const std::string zone = "zone-" + std::to_string(m_cell.draw(explored_cell::k_zones));
   note("cut " + zone);
@@ -301,14 +303,14 @@
   cut_for(pairs, m_cell.draw_time(milliseconds(2000), milliseconds(7000)));
 }
 
-void cell_troubles::forget_history()
+void cell_faults::forget_history()
 {
   note("the store forgets its history");
   m_cell.store().forget_history();
 }
 
 // The store is down in part: for the owner's rows, for some jobs', or for both.
-void cell_troubles::silence_parts()
+void cell_faults::silence_parts()
 {
   std::vector<std::string> parts = node::job_parts();
   parts.emplace_back(k_partition);
@@ -329,7 +331,7 @@
 }
 
 // The time of day jumps on one machine; the steady clock does not.
-void cell_troubles::step_clock()
+void cell_faults::step_clock()
 {
   explored_instance* const which = m_cell.any_up();
   if (which == nullptr)
@@ -340,7 +342,7 @@
 }
 
 // A machine gets a part of its processor only: nothing for most of each tenth of a second.
-void cell_troubles::slow_one()
+void cell_faults::slow_one()
 {
   explored_instance* const which = m_cell.any_up();
   if (which == nullptr)
@@ -351,8 +353,7 @@
   spend_quota(*which, which->time.get(), m_cell.time().now() + time);
 }
 
-void cell_troubles::spend_quota(explored_instance& which, const process_time* process,
-                                time_point end)
+void cell_faults::spend_quota(explored_instance& which, const process_time* process, time_point end)
 {
   // It may have been started anew meanwhile.
   if (!which.up() || which.time.get() != process || m_cell.time().now() >= end)
@@ -362,7 +363,7 @@
                          [this, &which, process, end] { spend_quota(which, process, end); });
 }
 
-explored_instance* cell_troubles::owner()
+explored_instance* cell_faults::owner()
 {
   for (explored_instance& each : m_cell.instances())
   {
@@ -373,7 +374,7 @@
 }
 
 // What a new owner would find if the mechanism were not there.
-void cell_troubles::forget_mechanism()
+void cell_faults::forget_mechanism()
 {
   if (m_without == omission::none)
     return;
--- a/Source/Core/Model/CellTroubles.h
+++ b/Source/Core/Model/CellFaults.h
@@ -21,10 +21,10 @@
 // A planned stop's grace; a process that is not through by then is killed.
 inline constexpr std::chrono::seconds k_stop_grace{6};
 
-class cell_troubles
+class cell_faults
 {
 public:
-  cell_troubles(explored_cell& cell, omission without);
+  cell_faults(explored_cell& cell, omission without);
 
   // Schedules two to six troubles for the first seconds of the play.
   void draw();
@@ -62,7 +62,7 @@
   void reborn_worker();
   void reuse_address();
   void break_entries();
-  void hand_in_crashing();
+  void submit_crashing();
   void shrink_rooms();
   void suspend_one();
   void lose_owners_in_series();
@@ -85,7 +85,7 @@
   void replace_worker(fleet_worker& which);
   std::uint64_t draw_restart(std::uint64_t below);
   duration draw_restart_time(std::chrono::milliseconds least, std::chrono::milliseconds most);
-  life_plan plan_life();
+  incarnation_plan plan_life();
   // So many times in a row.
   void restart(fleet_worker& which, std::uint64_t times);
   void begin_again(fleet_worker& which, std::uint64_t times);
--- a/Source/Core/Model/CellRestartTroubles.cpp
+++ b/Source/Core/Model/CellRestartFaults.cpp
@@ -4,7 +4,7 @@
 // Workers that start again under the id that they had. They are drawn from a generator of their
 // own, so that a seed's other troubles are the same with them and without.
 
-#include "Model/CellTroubles.h"
+#include "Model/CellFaults.h"
 
 #include <array>
 #include <chrono>
@@ -34,20 +34,20 @@
 constexpr double k_many_late = 0.3;
 } // namespace
 
-std::uint64_t cell_troubles::draw_restart(std::uint64_t below)
+std::uint64_t cell_faults::draw_restart(std::uint64_t below)
 {
   return m_restart_random() % below;
 }
 
-duration cell_troubles::draw_restart_time(milliseconds least, milliseconds most)
+duration cell_faults::draw_restart_time(milliseconds least, milliseconds most)
 {
   return least + milliseconds(static_cast<std::int64_t>(
                      draw_restart(static_cast<std::uint64_t>((most - least).count()))));
 }
 
-life_plan cell_troubles::plan_life()
+incarnation_plan cell_faults::plan_life()
 {
-  life_plan plan;
+  incarnation_plan plan;
   plan.keeps_id = draw_restart(k_new_id_share) != 0;
   const std::uint64_t most =
       draw_restart(k_old_clock_share) == 0 ? k_old_clock_ms : k_young_clock_ms;
@@ -58,28 +58,28 @@
   return plan;
 }
 
-void cell_troubles::draw_restarts(std::uint64_t seed)
+void cell_faults::draw_restarts(std::uint64_t seed)
 {
   m_restart_random.seed(seed);
-  m_cell.fleet().set_life_planner([this] { return plan_life(); });
+  m_cell.fleet().set_incarnation_planner([this] { return plan_life(); });
   const std::uint64_t count = 2 + draw_restart(4);
   for (std::uint64_t i = 0; i < count; ++i)
     m_cell.time().schedule(draw_restart_time(milliseconds(2000), milliseconds(18000)),
                            [this] { befall_restart(); });
 }
 
-void cell_troubles::befall_restart()
+void cell_faults::befall_restart()
 {
-  using kind = void (cell_troubles::*)();
+  using kind = void (cell_faults::*)();
   static constexpr std::array<kind, 5> k_kinds{
-      &cell_troubles::restart_workers, &cell_troubles::restart_behind_cut,
-      &cell_troubles::restart_beside_late_orders, &cell_troubles::restart_beside_lost_owner,
-      &cell_troubles::restart_beside_crashing};
+      &cell_faults::restart_workers, &cell_faults::restart_behind_cut,
+      &cell_faults::restart_beside_late_orders, &cell_faults::restart_beside_lost_owner,
+      &cell_faults::restart_beside_crashing};
   (this->*k_kinds[draw_restart(k_kinds.size())])();
 }
 
 // Some or most workers at once; some of them several times in a row.
-void cell_troubles::restart_workers()
+void cell_faults::restart_workers()
 {
   const std::uint64_t most = m_cell.workers().size() * 2 / 3;
   const std::uint64_t count = 1 + draw_restart(most);
@@ -88,7 +88,7 @@
     restart(m_cell.workers()[draw_restart(m_cell.workers().size())], times);
 }
 
-void cell_troubles::restart(fleet_worker& which, std::uint64_t times)
+void cell_faults::restart(fleet_worker& which, std::uint64_t times)
 {
   if (!which.model || times == 0)
     return;
@@ -100,7 +100,7 @@
   m_cell.time().schedule(down, [this, &which, times] { begin_again(which, times); });
 }
 
-void cell_troubles::begin_again(fleet_worker& which, std::uint64_t times)
+void cell_faults::begin_again(fleet_worker& which, std::uint64_t times)
 {
   if (which.model)
     return;
@@ -121,7 +121,7 @@
                            [this, &which, times] { restart(which, times - 1); });
 }
 
-void cell_troubles::restart_behind_cut()
+void cell_faults::restart_behind_cut()
 {
   fleet_worker& which = m_cell.workers()[draw_restart(m_cell.workers().size())];
   note("restart behind a cut: " + which.settings.life);
@@ -131,26 +131,27 @@
 }
 
 // Orders to the life before are carried out by the one after it.
-void cell_troubles::restart_beside_late_orders()
+void cell_faults::restart_beside_late_orders()
 {
   note("many orders are carried out late");
   lasts(seconds(4));
-  m_cell.network().troubles.orders_late = k_many_late;
-  m_cell.time().schedule(seconds(4), [this] { m_cell.network().troubles.orders_late = 0.0; });
+  m_cell.network().troubles.delayed_worker_call_share = k_many_late;
+  m_cell.time().schedule(seconds(4),
+                         [this] { m_cell.network().troubles.delayed_worker_call_share = 0.0; });
   m_cell.time().schedule(draw_restart_time(milliseconds(200), milliseconds(4000)),
                          [this] { restart_workers(); });
 }
 
-void cell_troubles::restart_beside_lost_owner()
+void cell_faults::restart_beside_lost_owner()
 {
   restart_workers();
   m_cell.time().schedule(draw_restart_time(milliseconds(0), milliseconds(5000)),
                          [this] { trouble_owner(); });
 }
 
-void cell_troubles::restart_beside_crashing()
+void cell_faults::restart_beside_crashing()
 {
-  hand_in_crashing();
+  submit_crashing();
   m_cell.time().schedule(draw_restart_time(milliseconds(0), milliseconds(4000)),
                          [this] { restart_workers(); });
 }
--- a/Source/Core/Model/CellSeriesTroubles.cpp
+++ b/Source/Core/Model/CellSeriesFaults.cpp
@@ -4,7 +4,7 @@
 // Troubles in series: owners that are lost one after the other, with their workers or under a
 // burst; instances that are killed while the store is hard to reach.
 
-#include "Model/CellTroubles.h"
+#include "Model/CellFaults.h"
 
 #include <set>
 #include <string>
@@ -26,7 +26,7 @@
 constexpr std::uint64_t k_slow_share = 8;
 } // namespace
 
-void cell_troubles::lose_owners_under_burst()
+void cell_faults::lose_owners_under_burst()
 {
   note("owners are lost under a burst");
   if (m_cell.draw(k_slow_share) == 0)
@@ -35,7 +35,7 @@
   lose_next_owner(m_cell.time().now() + m_cell.draw_time(seconds(6), seconds(11)));
 }
 
-void cell_troubles::lose_next_owner(time_point end)
+void cell_faults::lose_next_owner(time_point end)
 {
   if (m_cell.time().now() >= end)
     return;
@@ -49,7 +49,7 @@
                          [this, end] { lose_next_owner(end); });
 }
 
-void cell_troubles::lose_owner(explored_instance& which)
+void cell_faults::lose_owner(explored_instance& which)
 {
   if (m_cell.draw(k_planned_share) == 0)
     stop(which);
@@ -58,7 +58,7 @@
 }
 
 // The store turns some instances away, or all of them.
-void cell_troubles::turn_away()
+void cell_faults::turn_away()
 {
   std::set<std::string> names;
   const bool all = m_cell.draw(2) == 0;
@@ -76,7 +76,7 @@
 }
 
 // Instances end one after the other, with calls under way, while the store is hard to reach.
-void cell_troubles::kill_in_series()
+void cell_faults::kill_in_series()
 {
   if (m_cell.draw(2) == 0)
     slow_store();
@@ -88,7 +88,7 @@
                            [this] { kill_one(); });
 }
 
-void cell_troubles::kill_one()
+void cell_faults::kill_one()
 {
   explored_instance* const which = m_cell.any_up();
   if (which == nullptr)
@@ -98,7 +98,7 @@
 }
 
 // The owner is killed, stopped as planned, frozen, or cut off from the store.
-void cell_troubles::trouble_owner()
+void cell_faults::trouble_owner()
 {
   explored_instance* const which = owner();
   if (which == nullptr)
@@ -127,7 +127,7 @@
 }
 
 // Workers are gone for good, and owners are lost one after the other from that moment on.
-void cell_troubles::lose_owners_in_series()
+void cell_faults::lose_owners_in_series()
 {
   const std::uint64_t workers = 1 + m_cell.draw(3);
   for (std::uint64_t i = 0; i < workers; ++i)
--- a/Source/Core/Model/CellWorkerTroubles.cpp
+++ b/Source/Core/Model/CellWorkerFaults.cpp
@@ -3,7 +3,7 @@
 
 // The troubles of workers.
 
-#include "Model/CellTroubles.h"
+#include "Model/CellFaults.h"
 
 #include <array>
 #include <chrono>
@@ -33,7 +33,7 @@
     "[[[[[[]]]]]]"};
 } // namespace
 
-void cell_troubles::crash_worker()
+void cell_faults::crash_worker()
 {
   fleet_worker& which = m_cell.workers()[m_cell.draw(m_cell.workers().size())];
   if (!which.model)
@@ -53,7 +53,7 @@
 }
 
 // It says that it leaves, serves on for a while, and is gone with all that runs there.
-void cell_troubles::drain_worker()
+void cell_faults::drain_worker()
 {
   fleet_worker& which = m_cell.workers()[m_cell.draw(m_cell.workers().size())];
   if (!which.model || which.draining)
@@ -76,21 +76,21 @@
                          });
 }
 
-void cell_troubles::replace_worker(fleet_worker& which)
+void cell_faults::replace_worker(fleet_worker& which)
 {
   if (which.model)
     return;
   m_cell.start_worker(which);
 }
 
-void cell_troubles::cut_worker()
+void cell_faults::cut_worker()
 {
   const fleet_worker& which = m_cell.workers()[m_cell.draw(m_cell.workers().size())];
   note("cut off " + which.settings.id);
   cut_for(cut_of(which), m_cell.draw_time(milliseconds(1000), milliseconds(12000)));
 }
 
-cell_troubles::cut_pairs cell_troubles::cut_of(const fleet_worker& which) const
+cell_faults::cut_pairs cell_faults::cut_of(const fleet_worker& which) const
 {
   cut_pairs pairs{{which.machine, "store"}};
   for (const explored_instance& each : m_cell.instances())
@@ -100,7 +100,7 @@
 
 // A worker is cut off, crashes there and starts again. Its earlier life's last entry waits behind
 // the cut and is written after the first one of the life that has its address now.
-void cell_troubles::reborn_worker()
+void cell_faults::reborn_worker()
 {
   fleet_worker& which = m_cell.workers()[m_cell.draw(m_cell.workers().size())];
   if (!which.model)
@@ -130,7 +130,7 @@
 
 // Another writer puts something else in place of some workers' entries, and an entry of no worker
 // beside them; after a while the workers write their own again.
-void cell_troubles::break_entries()
+void cell_faults::break_entries()
 {
   const std::uint64_t count = 1 + m_cell.draw(3);
   for (std::uint64_t i = 0; i < count; ++i)
@@ -157,15 +157,15 @@
 }
 
 // Jobs come of which a task crashes each worker that starts it.
-void cell_troubles::hand_in_crashing()
+void cell_faults::submit_crashing()
 {
   note("jobs come that crash their workers");
   lasts(k_crashes_last);
-  m_cell.callers().hand_in_crashing(1 + m_cell.draw(3));
+  m_cell.callers().submit_crashing(1 + m_cell.draw(3));
 }
 
 // Some workers have less room for a while, down to none at all; what runs there goes on.
-void cell_troubles::shrink_rooms()
+void cell_faults::shrink_rooms()
 {
   const std::uint64_t count = 1 + m_cell.draw(3);
   for (std::uint64_t i = 0; i < count; ++i)
@@ -189,7 +189,7 @@
 }
 
 // The entry says it at the worker's next beat.
-void cell_troubles::set_room(fleet_worker& which, const common::resources& room)
+void cell_faults::set_room(fleet_worker& which, const common::resources& room)
 {
   worker_fleet::set_capacity(which, room);
   m_cell.time().schedule(m_cell.draw_time(milliseconds(1), k_beat),
@@ -201,7 +201,7 @@
 }
 
 // A worker crashes, and another service's worker is at its address at once.
-void cell_troubles::reuse_address()
+void cell_faults::reuse_address()
 {
   fleet_worker& which = m_cell.workers()[m_cell.draw(m_cell.workers().size())];
   if (!which.model)
@@ -226,7 +226,7 @@
                          });
 }
 
-void cell_troubles::crash_for_good()
+void cell_faults::crash_for_good()
 {
   fleet_worker& which = m_cell.workers()[m_cell.draw(m_cell.workers().size())];
   if (!which.model)
--- a/Source/Core/Model/ContactWatch.cpp
+++ b/Source/Core/Model/ConnectivityMonitor.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Model/ContactWatch.h"
+#include "Model/ConnectivityMonitor.h"
 
 namespace yardhill::model
 {
@@ -12,12 +12,12 @@
 constexpr std::chrono::seconds k_contact{3};
 } // namespace
 
-contact_watch::contact_watch(explored_cell& cell) : m_cell(cell)
+connectivity_monitor::connectivity_monitor(explored_cell& cell) : m_cell(cell)
 {
   look();
 }
 
-void contact_watch::look()
+void connectivity_monitor::look()
 {
   for (const explored_instance& each : m_cell.instances())
   {
@@ -28,15 +28,15 @@
   m_cell.time().schedule(k_period, [this] { look(); });
 }
 
-bool contact_watch::undisturbed(const explored_instance& which) const
+bool connectivity_monitor::undisturbed(const explored_instance& which) const
 {
   return which.up() && !which.core->stopping() && !which.time->frozen() &&
-         !m_cell.store().disturbed() && m_cell.network().troubles.answers_lost == 0.0 &&
+         !m_cell.store().disturbed() && m_cell.network().troubles.lost_store_reply_share == 0.0 &&
          !m_cell.network().troubles.turned_away.contains(which.name) &&
          !m_cell.network().cut(which.name, "store");
 }
 
-bool contact_watch::in_touch(const explored_instance& which) const
+bool connectivity_monitor::in_touch(const explored_instance& which) const
 {
   const auto found = m_contacts.find(which.name);
   return found != m_contacts.end() && which.up() && found->second.process == which.time.get() &&
--- a/Source/Core/Model/ContactWatch.h
+++ b/Source/Core/Model/ConnectivityMonitor.h
@@ -13,11 +13,11 @@
 
 namespace yardhill::model
 {
-class contact_watch
+class connectivity_monitor
 {
 public:
   // Looks again and again, from now on; the cell outlives it.
-  explicit contact_watch(explored_cell& cell);
+  explicit connectivity_monitor(explored_cell& cell);
 
   bool in_touch(const explored_instance& which) const;
 
--- a/Source/Core/Model/CountJudge.h
+++ b/Source/Core/Model/CountJudge.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "Http/HttpListener.h"
-#include "Model/ContactWatch.h"
+#include "Model/ConnectivityMonitor.h"
 #include "Model/ExploredCell.h"
 
 namespace yardhill::model
@@ -39,7 +39,7 @@
 
   explored_cell& m_cell;
   time_point m_end;
-  contact_watch m_contacts;
+  connectivity_monitor m_contacts;
   std::vector<std::string> m_violations;
   std::size_t m_counted = 0;
   std::size_t m_unknown = 0;
--- a/Source/Core/Model/RunJudge.h
+++ b/Source/Core/Model/RunJudge.h
@@ -72,7 +72,7 @@
   void saved(const task_ref& task, const std::string& checkpoint);
   void acknowledged(const task_ref& task, run_number run, run_end how, common::time_point at);
   // All instances reach the store and the workers throughout.
-  void expect_contact() { m_in_touch = true; }
+  void expect_connectivity() { m_in_touch = true; }
   void worker_gone(const std::string& worker);
   // The worker has been crashed by what it ran, or by chance.
   void worker_crashed(const std::string& worker);
--- a/Source/Core/Model/StoreModel.h
+++ b/Source/Core/Model/StoreModel.h
@@ -38,7 +38,7 @@
   void silence_parts(std::set<std::string> parts) { m_silent = std::move(parts); }
   // Each transaction takes so long (none: no time), those of one part in turn; while over a second
   // of them waits, more are turned away. Reads take as long.
-  void set_pace(common::duration each) { m_pace = each; }
+  void set_transaction_time(common::duration each) { m_pace = each; }
   // Whether it is slow or silent at present.
   bool disturbed() const { return m_pace.count() != 0 || !m_silent.empty(); }
   // Feeds that are behind have to read everything again.
--- a/Source/Core/Model/VirtualNetwork.cpp
+++ b/Source/Core/Model/VirtualNetwork.cpp
@@ -121,8 +121,9 @@
   if (unreachable)
     return;
   const bool to_store = target.name == "store";
-  const bool late = !to_store && happens(troubles.orders_late);
-  const bool lost = late || happens(to_store ? troubles.answers_lost : troubles.orders_lost);
+  const bool late = !to_store && happens(troubles.delayed_worker_call_share);
+  const bool lost = late || happens(to_store ? troubles.lost_store_reply_share
+                                             : troubles.lost_worker_reply_share);
   const duration way =
       late ? duration(std::chrono::milliseconds(2000 + m_random() % 10000))
            : delay() + transfer(from, call.target.size() + call.body.size() + k_head_bytes);
--- a/Source/Core/Model/VirtualNetwork.h
+++ b/Source/Core/Model/VirtualNetwork.h
@@ -19,16 +19,17 @@
 namespace yardhill::model
 {
 // Troubles in force; shares are between 0 and 1.
-struct network_troubles
+struct network_faults
 {
   std::set<std::pair<std::string, std::string>> cuts; // pairs of names, either way
   // Bytes a second of an instance's link, both ways together; others have no bound.
   std::map<std::string, double> links;
   std::set<std::string> turned_away; // instances that the store answers so, doing nothing
   unsigned turned_away_status = 503;
-  double answers_lost = 0.0; // carried out, and the answer lost: calls to the store
-  double orders_lost = 0.0;  // the same for calls to workers
-  double orders_late = 0.0;  // no answer, and carried out 2 to 12 s later: calls to workers
+  double lost_store_reply_share = 0.0;  // carried out, and the answer lost: calls to the store
+  double lost_worker_reply_share = 0.0; // the same for calls to workers
+  double delayed_worker_call_share =
+      0.0; // no answer, and carried out 2 to 12 s later: calls to workers
 };
 
 // Marks a call that is carried out late, for what judges tell; no client sends it.
@@ -50,7 +51,7 @@
   void message(const std::string& from, const std::string& to, std::function<void()> deliver);
   bool cut(const std::string& one, const std::string& other) const;
 
-  network_troubles troubles;
+  network_faults troubles;
 
 private:
   struct served
--- a/Source/Core/Model/WorkerFleet.cpp
+++ b/Source/Core/Model/WorkerFleet.cpp
@@ -41,7 +41,7 @@
   return added;
 }
 
-void worker_fleet::name_life(fleet_worker& which, const life_plan& plan)
+void worker_fleet::name_life(fleet_worker& which, const incarnation_plan& plan)
 {
   worker_settings& settings = which.settings;
   ++which.life;
@@ -68,7 +68,7 @@
 
 void worker_fleet::begin_life(fleet_worker& which)
 {
-  name_life(which, which.life > 0 && m_plan ? m_plan() : life_plan{});
+  name_life(which, which.life > 0 && m_plan ? m_plan() : incarnation_plan{});
   which.draining = false;
   which.broken_entry.clear();
   which.model = std::make_unique<worker_model>(m_time, which.settings, m_advice, m_judge, m_course);
--- a/Source/Core/Model/WorkerFleet.h
+++ b/Source/Core/Model/WorkerFleet.h
@@ -18,7 +18,7 @@
 namespace yardhill::model
 {
 // How the next life of a worker begins.
-struct life_plan
+struct incarnation_plan
 {
   bool keeps_id = false;
   std::chrono::milliseconds clock{0};      // of one that keeps its id: what it shows at first
@@ -52,7 +52,7 @@
   // there; that of the same id stays until the new life writes its own.
   void begin_life(fleet_worker& which);
   // Asked at each new life but a machine's first one. Without it, each has a new id.
-  void set_life_planner(std::function<life_plan()> plan) { m_plan = std::move(plan); }
+  void set_incarnation_planner(std::function<incarnation_plan()> plan) { m_plan = std::move(plan); }
   // All that runs there dies; its entry stays until it is removed or a new life begins.
   static void end_life(fleet_worker& which);
   // From now on it has so much room; its entry tells it when it is written again.
@@ -75,7 +75,7 @@
 
 private:
   // Another id, or the same one and a clock that begins anew.
-  void name_life(fleet_worker& which, const life_plan& plan);
+  void name_life(fleet_worker& which, const incarnation_plan& plan);
 
   common::timekeeper& m_time;
   store_model& m_store;
@@ -84,7 +84,7 @@
   worker_model::course_function m_course;
   const std::map<std::string, jobs::job_spec>& m_specs;
   std::function<void(fleet_worker&)> m_crashed;
-  std::function<life_plan()> m_plan;
+  std::function<incarnation_plan()> m_plan;
   std::deque<fleet_worker> m_workers;
 };
 } // namespace yardhill::model
--- a/Source/StandIns/CellStandIn.cpp
+++ b/Source/StandIns/CellStandIn.cpp
@@ -119,7 +119,7 @@
             { return course_of(task, run); },
             m_specs)
   {
-    m_fleet.set_life_planner([this] { return std::exchange(m_next_life, {}); });
+    m_fleet.set_incarnation_planner([this] { return std::exchange(m_next_life, {}); });
     m_fleet.set_crash_handler([this](model::fleet_worker& worker) { worker_crashed(worker); });
     listen(io, 0,
            [this](const incoming_request& request, responder respond)
@@ -316,7 +316,7 @@
   {
     const std::string& what = words.at(1);
     if (what == "slow")
-      m_store.set_pace(milliseconds(std::stol(words.at(2))));
+      m_store.set_transaction_time(milliseconds(std::stol(words.at(2))));
     else if (what == "limited")
       m_calls_per_second = std::stoull(words.at(2));
     else if (what == "parts")
@@ -423,7 +423,7 @@
   model::advice_model m_advice;
   std::map<std::string, jobs::job_spec> m_specs;
   model::worker_fleet m_fleet;
-  model::life_plan m_next_life;
+  model::incarnation_plan m_next_life;
   std::string m_store_fault = "works";
   std::uint64_t m_calls_per_second = 0; // to the store, before it turns calls away; 0: no limit
   std::uint64_t m_calls_of_second = 0;
--- a/Source/UnitTests/Model/CrashingTaskTest.cpp
+++ b/Source/UnitTests/Model/CrashingTaskTest.cpp
@@ -56,7 +56,7 @@
     jobs::job_spec spec;
     spec.payload = "payload";
     spec.steps = steps;
-    m_ids.push_back(cell.callers().hand_in_crashing(spec, after));
+    m_ids.push_back(cell.callers().submit_crashing(spec, after));
   }
 
   void replace_owner_every(duration period)
@@ -73,7 +73,7 @@
   // Until everything should have ended.
   void finish()
   {
-    cell.callers().hand_in_until(cell.time().now() + k_jobs_come);
+    cell.callers().submit_jobs_until(cell.time().now() + k_jobs_come);
     pass(k_play);
     cell.callers().ask_all();
     pass(k_answers);
--- a/Source/UnitTests/Model/LateCopyTest.cpp
+++ b/Source/UnitTests/Model/LateCopyTest.cpp
@@ -47,15 +47,15 @@
   {
     explored_cell cell(seed);
     const auto pass = [&cell](duration span) { cell.time().run_until(cell.time().now() + span); };
-    cell.judge().expect_contact();
+    cell.judge().expect_connectivity();
     pass(seconds{3});
-    cell.network().troubles.orders_late = 0.6;
+    cell.network().troubles.delayed_worker_call_share = 0.6;
     for (std::size_t i = 0; i < k_jobs; ++i)
     {
       cell.callers().hand_in(copied_job());
       pass(milliseconds{300});
     }
-    cell.network().troubles.orders_late = 0.0;
+    cell.network().troubles.delayed_worker_call_share = 0.0;
     pass(seconds{40});
     cell.callers().ask_all();
     pass(seconds{3});
@@ -75,16 +75,16 @@
   {
     explored_cell cell(seed);
     const auto pass = [&cell](duration span) { cell.time().run_until(cell.time().now() + span); };
-    cell.judge().expect_contact();
+    cell.judge().expect_connectivity();
     pass(seconds{3});
-    cell.network().troubles.orders_late = 0.4;
+    cell.network().troubles.delayed_worker_call_share = 0.4;
     for (std::size_t i = 0; i < k_jobs; ++i)
     {
       cell.callers().hand_in(copied_job());
       pass(milliseconds{300});
       cell.callers().ask_all();
     }
-    cell.network().troubles.orders_late = 0.0;
+    cell.network().troubles.delayed_worker_call_share = 0.0;
     for (int i = 0; i < 80; ++i)
     {
       pass(milliseconds{500});
--- a/Source/UnitTests/Model/NarrowConfigurationTest.cpp
+++ b/Source/UnitTests/Model/NarrowConfigurationTest.cpp
@@ -14,7 +14,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "Model/CellTroubles.h"
+#include "Model/CellFaults.h"
 #include "Model/CountJudge.h"
 #include "Model/ExploredCell.h"
 
@@ -184,8 +184,8 @@
   {
     configured_cell narrow(k_narrow, seed);
     explored_cell& cell = narrow.cell;
-    cell_troubles troubles(cell, omission::none);
-    cell.callers().hand_in_until(cell.begin() + seconds{25});
+    cell_faults troubles(cell, omission::none);
+    cell.callers().submit_jobs_until(cell.begin() + seconds{25});
     const count_judge counts(cell, cell.begin() + seconds{35});
     troubles.draw();
     for (std::uint64_t version = 2; version <= 9; ++version)
--- a/Source/UnitTests/Model/RestartedWorkerTest.cpp
+++ b/Source/UnitTests/Model/RestartedWorkerTest.cpp
@@ -33,7 +33,10 @@
   {
     if (std::getenv("YARDHILL_LOG") != nullptr)
       common::open_event_log("restarted-" + std::to_string(seed));
-    cell.fleet().set_life_planner([first_clock] { return life_plan{true, first_clock, {}}; });
+    cell.fleet().set_incarnation_planner(
+        [first_clock] {
+          return incarnation_plan{true, first_clock, {}};
+        });
     pass(seconds{3});
   }
 
@@ -90,7 +93,7 @@
   return step;
 }
 
-std::string hand_in_lasting(restarted_cell& play)
+std::string submit_long_running(restarted_cell& play)
 {
   jobs::step_spec step = step_of(k_lasting_tasks);
   step.long_running = true;
@@ -109,7 +112,7 @@
   for (std::uint64_t seed = 1; seed <= k_seeds; ++seed)
   {
     restarted_cell play(seed, std::chrono::hours{2});
-    play.cell.callers().hand_in_until(play.cell.time().now() + k_jobs_come);
+    play.cell.callers().submit_jobs_until(play.cell.time().now() + k_jobs_come);
     for (int i = 0; i < 3; ++i)
     {
       play.pass(seconds{5});
@@ -124,7 +127,7 @@
   for (std::uint64_t seed = 1; seed <= k_seeds; ++seed)
   {
     restarted_cell play(seed, milliseconds{0});
-    hand_in_lasting(play);
+    submit_long_running(play);
     play.pass(seconds{12});
     play.restart_workers(milliseconds{700});
     play.pass(milliseconds{700} + seconds{3});
@@ -140,8 +143,8 @@
     for (const milliseconds after : {milliseconds{300}, milliseconds{900}, milliseconds{1500}})
     {
       restarted_cell play(seed, milliseconds{0});
-      hand_in_lasting(play);
-      play.cell.callers().hand_in_until(play.cell.time().now() + k_jobs_come);
+      submit_long_running(play);
+      play.cell.callers().submit_jobs_until(play.cell.time().now() + k_jobs_come);
       play.pass(seconds{8});
       play.restart_workers(milliseconds{700});
       play.pass(after);
@@ -159,8 +162,8 @@
     jobs::job_spec spec;
     spec.payload = "payload";
     spec.steps = {step_of(3)};
-    const std::string id = play.cell.callers().hand_in_crashing(spec, milliseconds{10});
-    play.cell.callers().hand_in_until(play.cell.time().now() + k_jobs_come);
+    const std::string id = play.cell.callers().submit_crashing(spec, milliseconds{10});
+    play.cell.callers().submit_jobs_until(play.cell.time().now() + k_jobs_come);
     play.check_at_end();
     BOOST_TEST((play.cell.callers().states().at(id) == jobs::job_state::failed), id);
   }
@@ -172,13 +175,13 @@
   for (std::uint64_t seed = 1; seed <= k_seeds; ++seed)
   {
     restarted_cell play(seed, milliseconds{0});
-    play.cell.callers().hand_in_until(play.cell.time().now() + k_jobs_come);
+    play.cell.callers().submit_jobs_until(play.cell.time().now() + k_jobs_come);
     play.pass(seconds{3});
-    play.cell.network().troubles.orders_late = 0.2;
+    play.cell.network().troubles.delayed_worker_call_share = 0.2;
     play.pass(seconds{3});
     play.restart_workers(milliseconds{700});
     play.pass(seconds{2});
-    play.cell.network().troubles.orders_late = 0.0;
+    play.cell.network().troubles.delayed_worker_call_share = 0.0;
     play.check_at_end();
   }
 }
--- a/Source/UnitTests/Node/PartitionOwnerTest.cpp
+++ b/Source/UnitTests/Node/PartitionOwnerTest.cpp
@@ -71,12 +71,12 @@
   wire.store.put(node::job_key(id), jobs::to_row_text(job));
   owner.tick(time.now(), begin);
   time.run_until(time.now() + milliseconds{1});
-  wire.store.set_pace(seconds{6}); // longer than the authority lasts
+  wire.store.set_transaction_time(seconds{6}); // longer than the authority lasts
   while (!owner.owns() && time.now() - begin < seconds{60})
     pass(milliseconds{25});
   BOOST_TEST_REQUIRE(owner.owns());
   BOOST_TEST(!owner.written_state(id).has_value());
-  wire.store.set_pace({});
+  wire.store.set_transaction_time({});
   pass(milliseconds{7000});
   BOOST_TEST_REQUIRE(owner.owns());
   BOOST_TEST(owner.written_state(id).has_value());
--- a/Source/UnitTests/Node/RefusalTest.cpp
+++ b/Source/UnitTests/Node/RefusalTest.cpp
@@ -76,12 +76,12 @@
   // Kept by an instance that is killed before it hears so.
   void keep_unheard(std::size_t which)
   {
-    cell.network().troubles.answers_lost = 1.0;
+    cell.network().troubles.lost_store_reply_share = 1.0;
     submit(which);
     run_for(milliseconds{10});
     BOOST_TEST_REQUIRE(!got.has_value());
     cell.end_instance(instance(which));
-    cell.network().troubles.answers_lost = 0.0;
+    cell.network().troubles.lost_store_reply_share = 0.0;
     ask(which + 1, http::method::get, {});
     run_for(milliseconds{50});
     BOOST_TEST_REQUIRE(got.has_value());
@@ -165,7 +165,7 @@
 // away; the row is there a second later.
 BOOST_FIXTURE_TEST_CASE(a_submission_that_waits_in_the_store_is_not_refused, refusing)
 {
-  cell.store().set_pace(milliseconds{250});
+  cell.store().set_transaction_time(milliseconds{250});
   fill_part(4);
   submit(0);
   run_for(milliseconds{10});
@@ -174,7 +174,7 @@
   run_for(seconds{3});
   BOOST_TEST_REQUIRE(got.has_value());
   BOOST_TEST(got->status != k_unavailable);
-  cell.store().set_pace({});
+  cell.store().set_transaction_time({});
   submit(2);
   run_for(seconds{1});
   BOOST_TEST(got->status == 200U);
@@ -244,7 +244,7 @@
 // ended, which lay behind the end of the process: its connection was cut without an answer.
 BOOST_FIXTURE_TEST_CASE(an_instance_that_stops_answers_before_its_process_ends, refusing)
 {
-  cell.network().troubles.answers_lost = 1.0;
+  cell.network().troubles.lost_store_reply_share = 1.0;
   instance(0).core->begin_stop(milliseconds{1000});
   run_for(milliseconds{300});
   submit(0);
