--- a/Source/Core/Model/AdviceModel.cpp
+++ b/Source/Core/Model/AdviceModel.cpp
@@ -17,7 +17,7 @@
 {
 using nlohmann::json;
 namespace wire = adapter::wire;
-constexpr std::uint64_t k_share_steps = 1000;
+constexpr std::uint64_t k_share_resolution = 1000;
 } // namespace
 
 advice_model::advice_model(common::timekeeper& time, std::uint64_t seed,
@@ -28,8 +28,8 @@
 
 bool advice_model::permits(const std::string& step, const std::string& life) const
 {
-  return static_cast<double>(common::stable_hash(step + "/" + life, m_seed) % k_share_steps) <
-         m_settings.permitted_share * static_cast<double>(k_share_steps);
+  return static_cast<double>(common::stable_hash(step + "/" + life, m_seed) % k_share_resolution) <
+         m_settings.permitted_share * static_cast<double>(k_share_resolution);
 }
 
 void advice_model::handle(const std::string& machine, const http::request& call,
@@ -55,8 +55,8 @@
   for (const json& each : in.at(wire::k_workers))
   {
     const std::string worker = each;
-    const auto known = m_lives.find(worker);
-    const std::string& life = known == m_lives.end() ? worker : known->second;
+    const auto known = m_incarnations.find(worker);
+    const std::string& life = known == m_incarnations.end() ? worker : known->second;
     if (!permits(step, life))
       continue;
     const std::string ticket = "t" + std::to_string(m_tickets.size());
--- a/Source/Core/Model/AdviceModel.h
+++ b/Source/Core/Model/AdviceModel.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// The platform's advice service: which workers a policy permits for a step, with tickets.
+// Model of the platform's advice service, which says on which workers a policy permits a step and
+// issues a ticket for each of them.
 
 #include <map>
 #include <set>
@@ -25,21 +26,24 @@
 class advice_model
 {
 public:
-  // The policy follows from the seed.
+  // The seed determines which steps the policy permits on which workers.
   advice_model(common::timekeeper& time, std::uint64_t seed, const advice_settings& settings);
 
-  // A call of that machine; the calls of one machine are answered in turn.
+  // Handles a call from `machine`. The calls of one machine are answered one after the other.
   void handle(const std::string& machine, const http::request& call, http::reply_handler done);
-  // From now on that is the life of the worker with that id.
-  void worker_begins(const std::string& id, const std::string& life) { m_lives[id] = life; }
-  // Whether the ticket serves for the step at that life of a worker now.
+  // Sets the present incarnation of the worker with that id.
+  void set_incarnation(const std::string& id, const std::string& life)
+  {
+    m_incarnations[id] = life;
+  }
+  // Whether the ticket is valid now for starting the step on that incarnation of a worker.
   bool valid(const std::string& ticket, const std::string& step, const std::string& life) const;
 
 private:
   struct issued
   {
     std::string step;
-    std::string life; // of the worker
+    std::string life; // the worker's incarnation
     common::time_point until;
   };
 
@@ -49,8 +53,9 @@
   common::timekeeper& m_time;
   std::uint64_t m_seed;
   advice_settings m_settings;
-  std::map<std::string, common::time_point> m_free_at; // by machine
-  std::map<std::string, std::string> m_lives;          // by id
+  std::map<std::string, common::time_point>
+      m_free_at; // when the machine's last call is answered, by machine
+  std::map<std::string, std::string> m_incarnations; // by worker id
   std::map<std::string, issued> m_tickets;
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/CallerModel.cpp
+++ b/Source/Core/Model/CallerModel.cpp
@@ -23,22 +23,23 @@
 
 constexpr unsigned k_submit_tries = 4;
 constexpr unsigned k_cancel_tries = 5;
-constexpr std::uint32_t k_lasting_tasks = 4;
-constexpr const char* k_patience_ms = "3000";
-// A caller that hears nothing for its patience and a little tries again.
-constexpr milliseconds k_silence{3100};
-constexpr milliseconds k_least_retry{50};
-constexpr milliseconds k_most_retry{900};
-// One connection in so many breaks before the answer comes.
-constexpr std::uint64_t k_breaking_share = 16;
-// One caller in so many does not come back after a refusal.
-constexpr std::uint64_t k_leaving_share = 3;
+constexpr std::uint32_t k_long_running_tasks = 4;
+constexpr const char* k_timeout_ms = "3000";
+// A caller that gets no reply within its request timeout and a small margin retries.
+constexpr milliseconds k_reply_timeout{3100};
+constexpr milliseconds k_min_retry_delay{50};
+constexpr milliseconds k_max_retry_delay{900};
+// One in this many connections breaks before the reply arrives.
+constexpr std::uint64_t k_broken_connection_odds = 16;
+// One in this many callers does not retry after a refusal.
+constexpr std::uint64_t k_give_up_odds = 3;
 constexpr milliseconds k_cancel_retry{1500};
-// A task that crashes its workers does so soon after its start; one in so many takes longer.
+// A task that crashes its workers does so soon after its start; one in k_late_crash_odds does so
+// later, up to k_latest_crash.
 constexpr milliseconds k_crash{1};
 constexpr milliseconds k_late_crash{30};
 constexpr milliseconds k_latest_crash{2500};
-constexpr std::uint64_t k_late_crash_share = 4;
+constexpr std::uint64_t k_late_crash_odds = 4;
 
 std::string job_id(std::uint64_t number)
 {
@@ -68,7 +69,7 @@
   return json{{wire::k_payload, spec.payload}, {wire::k_steps, std::move(steps)}}.dump();
 }
 
-// The state of that name where callers see it.
+// Parses the name of a job state as callers see it.
 jobs::job_state state_from(const std::string& name)
 {
   for (const jobs::job_state each : {jobs::job_state::queued, jobs::job_state::active,
@@ -81,8 +82,9 @@
 }
 } // namespace
 
-caller_model::caller_model(virtual_time& time, std::uint64_t seed, run_judge& judge, carrier carry)
-    : m_time(time), m_random(seed), m_judge(judge), m_carry(std::move(carry))
+caller_model::caller_model(virtual_time& time, std::uint64_t seed, run_judge& judge,
+                           deliver_function deliver_request)
+    : m_time(time), m_random(seed), m_judge(judge), m_deliver(std::move(deliver_request))
 {
 }
 
@@ -96,8 +98,8 @@
 {
   jobs::job_spec spec;
   spec.payload = "payload-" + std::to_string(m_jobs);
-  const bool lasting = draw(10) == 0;
-  const std::size_t steps = lasting ? 1 : 1 + draw(3);
+  const bool is_long_running = draw(10) == 0;
+  const std::size_t steps = is_long_running ? 1 : 1 + draw(3);
   for (std::size_t i = 0; i < steps; ++i)
   {
     jobs::step_spec step;
@@ -107,11 +109,11 @@
     step.estimate = milliseconds(900);
     if (i > 0)
       step.depends_on.push_back(static_cast<std::uint32_t>(i - 1));
-    step.long_running = lasting;
-    step.gang = !lasting && draw(8) == 0;
-    if (step.gang) // small enough for the few workers that a policy may leave it
+    step.long_running = is_long_running;
+    step.gang = !is_long_running && draw(8) == 0;
+    if (step.gang) // small enough for the few workers that a policy may permit
       step.demand.cpu_millis = 500;
-    step.speculative = !lasting && !step.gang && draw(6) == 0;
+    step.speculative = !is_long_running && !step.gang && draw(6) == 0;
     step.checkpointing = draw(2) == 0;
     spec.steps.push_back(step);
   }
@@ -164,7 +166,7 @@
     const std::string id = hand_in();
     const auto step = static_cast<std::uint32_t>(draw(m_specs[id].steps.size()));
     const auto index = static_cast<std::uint32_t>(draw(m_specs[id].steps[step].count));
-    const bool late = draw(k_late_crash_share) == 0;
+    const bool late = draw(k_late_crash_odds) == 0;
     crash_at(id, step, index,
              late ? draw_time(k_late_crash, k_latest_crash) : draw_time(k_crash, k_late_crash));
   }
@@ -207,7 +209,7 @@
 void caller_model::submit_long_running()
 {
   jobs::step_spec step;
-  step.count = k_lasting_tasks;
+  step.count = k_long_running_tasks;
   step.demand.cpu_millis = 1000;
   step.demand.memory_mib = 100;
   step.estimate = milliseconds(900);
@@ -216,17 +218,17 @@
   jobs::job_spec spec;
   spec.payload = "lasting";
   spec.steps.push_back(step);
-  m_judge.expect_to_last(hand_in(spec));
+  m_judge.expect_to_keep_running(hand_in(spec));
 }
 
 void caller_model::submit_again(const std::string& id, const std::string& body, unsigned tries)
 {
   if (tries > 0)
-    m_time.schedule(draw_time(k_least_retry, k_most_retry),
+    m_time.schedule(draw_time(k_min_retry_delay, k_max_retry_delay),
                     [this, id, body, tries] { submit(id, body, tries - 1); });
 }
 
-// Some callers send the same job once more, seconds after it was taken.
+// Resubmits a job seconds after it was accepted, as some callers do.
 void caller_model::submit_late(const std::string& id, const std::string& body)
 {
   m_time.schedule(draw_time(milliseconds(500), milliseconds(9000)),
@@ -236,22 +238,23 @@
 void caller_model::submit(const std::string& id, const std::string& body, unsigned tries)
 {
   m_judge.tried(id);
-  const auto over = std::make_shared<bool>(false);
-  const auto ended = [this, id, body, tries, over](unsigned status)
+  const auto finished = std::make_shared<bool>(false);
+  const auto ended = [this, id, body, tries, finished](unsigned status)
   {
-    if (!std::exchange(*over, true))
+    if (!std::exchange(*finished, true))
       on_submitted(id, body, tries, status);
   };
-  const bool sent = m_carry({http::method::post, k_host, m_prefixes[id] + id, body, k_patience_ms},
-                            [ended](const http::outgoing_answer& answer) { ended(answer.status); });
+  const bool sent =
+      m_deliver({http::method::post, k_host, m_prefixes[id] + id, body, k_timeout_ms},
+                [ended](const http::outgoing_answer& answer) { ended(answer.status); });
   if (!sent)
   {
     submit_again(id, body, tries);
     return;
   }
-  // A connection may break while the instance goes on with the call.
-  const bool breaks = draw(k_breaking_share) == 0;
-  m_time.schedule(breaks ? draw_time(milliseconds(2), milliseconds(400)) : k_silence,
+  // The connection may break while the instance still processes the call.
+  const bool breaks = draw(k_broken_connection_odds) == 0;
+  m_time.schedule(breaks ? draw_time(milliseconds(2), milliseconds(400)) : k_reply_timeout,
                   [ended] { ended(0); });
 }
 
@@ -263,7 +266,7 @@
     m_accepted_at.emplace(id, m_time.now());
   const bool refused = status == 429 || status == 503;
   const bool unclear = status == 0 || status == 502 || status == 504;
-  if (unclear || (refused && draw(k_leaving_share) != 0))
+  if (unclear || (refused && draw(k_give_up_odds) != 0))
     submit_again(id, body, tries);
   else if (!refused && tries > 0 && draw(6) == 0)
     submit_late(id, body);
@@ -273,13 +276,13 @@
 {
   const auto answered = std::make_shared<bool>(false);
   m_judge.cancel_asked(id);
-  m_carry({http::method::remove, k_host, m_prefixes[id] + id, "", k_patience_ms},
-          [this, id, answered](const http::outgoing_answer& answer)
-          {
-            *answered = answer.status == 200 || answer.status == 410;
-            if (answer.status == 200)
-              m_judge.cancelled(id, m_time.now());
-          });
+  m_deliver({http::method::remove, k_host, m_prefixes[id] + id, "", k_timeout_ms},
+            [this, id, answered](const http::outgoing_answer& answer)
+            {
+              *answered = answer.status == 200 || answer.status == 410;
+              if (answer.status == 200)
+                m_judge.cancelled(id, m_time.now());
+            });
   m_time.schedule(k_cancel_retry,
                   [this, id, tries, answered]
                   {
@@ -291,8 +294,8 @@
 void caller_model::ask_all()
 {
   for (const auto& [id, prefix] : m_prefixes)
-    m_carry({http::method::get, k_host, prefix + id, "", k_patience_ms},
-            [this, id = id](const http::outgoing_answer& answer) { on_state(id, answer); });
+    m_deliver({http::method::get, k_host, prefix + id, "", k_timeout_ms},
+              [this, id = id](const http::outgoing_answer& answer) { on_state(id, answer); });
 }
 
 void caller_model::on_state(const std::string& id, const http::outgoing_answer& answer)
--- a/Source/Core/Model/CallerModel.h
+++ b/Source/Core/Model/CallerModel.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Callers of the explored cell: hand in random jobs, try again, cancel, ask in the end.
+// Model of the cell's callers: they submit random jobs, retry, cancel, and query the state of all
+// jobs at the end.
 
 #include <functional>
 #include <map>
@@ -18,7 +19,7 @@
 namespace yardhill::model
 {
 // The queues of the cell's configuration, by the prefix of their paths.
-inline constexpr const char* k_urgent_prefix = "/u/"; // with advice
+inline constexpr const char* k_urgent_prefix = "/u/"; // its tasks need advice
 inline constexpr const char* k_plain_prefix = "/p/";
 inline constexpr const char* k_host = "jobs.example";
 inline constexpr std::uint32_t k_max_attempts = 3;
@@ -26,30 +27,33 @@
 class caller_model
 {
 public:
-  // Brings a request to some instance that is up; false if none is. An answer with status 0 says
-  // that the connection broke.
-  using carrier = std::function<bool(http::incoming_request, http::responder)>;
+  // Delivers a request to some instance that is up; returns false if none is. An answer with status
+  // 0 means that the connection broke.
+  using deliver_function = std::function<bool(http::incoming_request, http::responder)>;
 
-  caller_model(virtual_time& time, std::uint64_t seed, run_judge& judge, carrier carry);
+  caller_model(virtual_time& time, std::uint64_t seed, run_judge& judge,
+               deliver_function deliver_request);
 
-  // Jobs come from now on until `end`.
+  // Submits random jobs from now until `end`.
   void submit_jobs_until(time_point end);
-  // So many jobs more, spread over that time.
+  // Submits that number of additional jobs, at random moments within `time`.
   void burst(std::uint64_t jobs, std::chrono::milliseconds time);
-  // Jobs of that queue which were accepted by then and have not begun; nobody has cancelled them.
+  // Number of the queue's jobs that were accepted by that time, have not started and whose
+  // cancellation was not requested.
   std::uint64_t waiting(const std::string& prefix, time_point accepted_by) const;
-  // One job of that kind, for a queue whose tasks may run anywhere. Returns its id.
+  // Submits one job with that specification to the queue whose tasks may run on any worker. Returns
+  // the job's id.
   std::string hand_in(const jobs::job_spec& spec);
-  // So many jobs of any kind, one task of each of which crashes its workers.
+  // Submits that number of random jobs, each with one task that crashes the workers it runs on.
   void submit_crashing(std::uint64_t jobs);
-  // The same of a job of that kind: its first step's first task, so long after its start. Returns
-  // its id.
+  // Submits a job whose first step's first task crashes its worker at `after` from the task's
+  // start. Returns the job's id.
   std::string submit_crashing(const jobs::job_spec& spec, duration after);
-  // How long after its start the task crashes its worker, if it does.
+  // Time from the task's start until it crashes its worker; none if it does not.
   std::optional<duration> crashes_after(const task_ref& task) const;
-  // One whose tasks last until the play ends.
+  // Submits a job whose long-running tasks should run until the simulation ends.
   void submit_long_running();
-  // Asks for every job; the answers go to the judge.
+  // Queries the state of every job; the answers are passed to the judge.
   void ask_all();
   const std::map<std::string, jobs::job_spec>& specs() const { return m_specs; }
   const std::map<std::string, jobs::job_state>& states() const { return m_states; }
@@ -71,11 +75,12 @@
   virtual_time& m_time;
   std::mt19937_64 m_random;
   run_judge& m_judge;
-  carrier m_carry;
+  deliver_function m_deliver;
   std::map<std::string, jobs::job_spec> m_specs;
-  std::map<std::string, std::string> m_prefixes;   // by job
-  std::map<task_ref, duration> m_crashes;          // tasks that crash their workers
-  std::map<std::string, time_point> m_accepted_at; // by job: when it was first told
+  std::map<std::string, std::string> m_prefixes; // by job
+  std::map<task_ref, duration> m_crashes;        // time until the task crashes its worker
+  std::map<std::string, time_point>
+      m_accepted_at; // by job: first acceptance that its caller received
   std::map<std::string, jobs::job_state> m_states;
   std::uint64_t m_jobs = 0;
 };
--- a/Source/Core/Model/CancelJudge.cpp
+++ b/Source/Core/Model/CancelJudge.cpp
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds k_period{100};
-// The platform's bounds: of a cancellation (3 s) and of a stop (0.2 s).
-constexpr milliseconds k_gone_after{3200};
+// The sum of the platform's limits for a cancellation (3 s) and for a stop (0.2 s).
+constexpr milliseconds k_cancel_grace{3200};
 } // namespace
 
 cancel_judge::cancel_judge(explored_cell& cell, time_point end)
-    : m_cell(cell), m_end(end), m_contacts(cell), m_calm_since(cell.time().now())
+    : m_cell(cell), m_end(end), m_contacts(cell), m_undisturbed_since(cell.time().now())
 {
   look();
 }
@@ -27,19 +27,19 @@
   const time_point now = m_cell.time().now();
   if (now > m_end)
     return;
-  if (!calm())
-    m_calm_since = now;
-  if (now - m_calm_since >= k_gone_after)
-    m_cell.judge().check_cancelled_gone(now - k_gone_after);
+  if (!cell_undisturbed())
+    m_undisturbed_since = now;
+  if (now - m_undisturbed_since >= k_cancel_grace)
+    m_cell.judge().check_cancelled_gone(now - k_cancel_grace);
   m_cell.time().schedule(k_period, [this] { look(); });
 }
 
-bool cancel_judge::calm() const
+bool cancel_judge::cell_undisturbed() const
 {
   const network_faults& troubles = m_cell.network().troubles;
   return troubles.cuts.empty() && troubles.lost_worker_reply_share == 0.0 &&
          troubles.delayed_worker_call_share == 0.0 &&
          std::ranges::all_of(m_cell.instances(), [this](const explored_instance& each)
-                             { return m_contacts.in_touch(each); });
+                             { return m_contacts.connected(each); });
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/CancelJudge.h
+++ b/Source/Core/Model/CancelJudge.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-// Holds an explored cell to it that nothing of a cancelled job goes on: once nothing has befallen
-// the cell for a while, no run may be left that had begun by then, whoever started it, and whether
-// or not its worker carried the order out late.
+// Checks that nothing of a cancelled job keeps running. Once the cell has been undisturbed for a
+// while, no run of such a job that had begun by the start of that while may be left, whoever
+// started it, and also if its worker executed the start request late.
 
 #include "Model/ConnectivityMonitor.h"
 #include "Model/ExploredCell.h"
@@ -15,16 +15,17 @@
 class cancel_judge
 {
 public:
-  // From now on until `end`; the cell outlives it. What it finds, the cell's judge notes.
+  // Checks from now until `end`. The cell must outlive the judge; violations are added to the
+  // cell's run_judge.
   cancel_judge(explored_cell& cell, time_point end);
 
 private:
   void look();
-  bool calm() const;
+  bool cell_undisturbed() const;
 
   explored_cell& m_cell;
   time_point m_end;
   connectivity_monitor m_contacts;
-  time_point m_calm_since;
+  time_point m_undisturbed_since;
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/CellExplorer.cpp
+++ b/Source/Core/Model/CellExplorer.cpp
@@ -18,17 +18,18 @@
 {
 using std::chrono::seconds;
 
-// Jobs come until troubles are over; the rest is for what is left to end.
+// Jobs are submitted until the faults are over; the remaining time is for unfinished jobs to end.
 constexpr seconds k_first_job{1};
-constexpr seconds k_troubled{20};
-constexpr seconds k_length{60};
-// A job that still runs then is not lost: the platform counts one of which nothing runs for 3 s.
+constexpr seconds k_fault_period{20};
+constexpr seconds k_run_length{60};
+// A job that is still running after k_run_length is not lost: the platform counts a job as lost if
+// nothing of it runs for 3 s.
 constexpr seconds k_overtime{15};
 constexpr seconds k_nothing_runs{3};
-// How often the judge looks at tasks that are to last.
-constexpr std::chrono::milliseconds k_look_period{100};
-// For the answers to the last questions.
-constexpr seconds k_answers{3};
+// How often long-running tasks and, at the end, remaining runs are checked.
+constexpr std::chrono::milliseconds k_check_period{100};
+// Time for the answers to the final state queries.
+constexpr seconds k_final_queries{3};
 
 std::vector<usable_worker> usable_workers(explored_cell& cell)
 {
@@ -42,7 +43,7 @@
   return usable;
 }
 
-// While it lives the event log tells the cell's time.
+// Makes the event log record the cell's virtual time for the lifetime of this object.
 class logged_time
 {
 public:
@@ -66,20 +67,21 @@
 
 void finish_work(explored_cell& cell)
 {
-  const time_point latest = cell.begin() + k_length + k_overtime;
+  const time_point latest = cell.begin() + k_run_length + k_overtime;
   time_point idle_since = cell.time().now();
   while (cell.time().now() < latest && cell.time().now() - idle_since < k_nothing_runs)
   {
-    cell.time().run_until(cell.time().now() + k_look_period);
-    if (cell.judge().works())
+    cell.time().run_until(cell.time().now() + k_check_period);
+    if (cell.judge().has_finite_runs())
       idle_since = cell.time().now();
   }
 }
 
-void watch_lasting(explored_cell& cell, const cell_faults& troubles)
+void watch_long_running(explored_cell& cell, const cell_faults& troubles)
 {
-  cell.judge().check_lasting(usable_workers(cell), cell.time().now(), troubles.disturbed_until());
-  cell.time().schedule(k_look_period, [&cell, &troubles] { watch_lasting(cell, troubles); });
+  cell.judge().check_long_running(usable_workers(cell), cell.time().now(),
+                                  troubles.disturbed_until());
+  cell.time().schedule(k_check_period, [&cell, &troubles] { watch_long_running(cell, troubles); });
 }
 } // namespace
 
@@ -92,22 +94,22 @@
                        [&cell]
                        {
                          cell.callers().submit_long_running();
-                         cell.callers().submit_jobs_until(cell.begin() + k_troubled);
+                         cell.callers().submit_jobs_until(cell.begin() + k_fault_period);
                        });
-  watch_lasting(cell, troubles);
-  const count_judge counts(cell, cell.begin() + k_length);
-  const cancel_judge cancelled(cell, cell.begin() + k_length);
+  watch_long_running(cell, troubles);
+  const count_judge counts(cell, cell.begin() + k_run_length);
+  const cancel_judge cancelled(cell, cell.begin() + k_run_length);
   troubles.draw();
   if (how == restarts::under_one_id)
     troubles.draw_restarts(seed);
-  cell.time().run_until(cell.begin() + k_length);
+  cell.time().run_until(cell.begin() + k_run_length);
   finish_work(cell);
   cell.callers().ask_all();
-  cell.time().run_until(cell.time().now() + k_answers);
+  cell.time().run_until(cell.time().now() + k_final_queries);
   cell.judge().check_all_ended(cell.callers().states());
   std::vector<std::string> violations = cell.judge().violations();
   violations.insert(violations.end(), counts.violations().begin(), counts.violations().end());
-  return {std::move(violations), troubles.told(),  cell.judge().accepted_jobs(),
-          cell.judge().starts(), counts.counted(), counts.unknown()};
+  return {std::move(violations), troubles.descriptions(), cell.judge().accepted_jobs(),
+          cell.judge().starts(), counts.counted(),        counts.unknown()};
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/CellExplorer.h
+++ b/Source/Core/Model/CellExplorer.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// Plays a small cell in virtual time: several instances as they run in production, models of what
-// they are given, callers, and troubles drawn from a seed. Says what must never happen and did.
+// Simulates a small cell in virtual time: several instances that run the production code, models of
+// their environment, callers, and faults drawn from a seed. Reports each violated invariant.
 
 #include <cstdint>
 #include <string>
@@ -12,15 +12,15 @@
 
 namespace yardhill::model
 {
-// Mechanisms that a trial can leave out, to see that the explorer notices.
+// Mechanisms that a trial can disable, to verify that the explorer detects their absence.
 enum class omission
 {
   none,
-  claims_forgotten, // a new owner finds no claims of workers
-  begun_forgotten   // a new owner finds no step begun
+  claims_forgotten, // a new owner finds no stored claims of workers
+  begun_forgotten   // a new owner finds no stored record of steps that have begun
 };
 
-// Whether workers start again under the ids that they had, besides a seed's other troubles.
+// Whether workers also restart under their previous ids, in addition to the seed's other faults.
 enum class restarts
 {
   none,
@@ -30,15 +30,16 @@
 struct exploration
 {
   std::vector<std::string> violations;
-  std::vector<std::string> troubles; // what happened, in order
+  std::vector<std::string> troubles; // descriptions of the injected faults, in order
   std::size_t accepted = 0;
   std::size_t starts = 0;
-  // Counts of waiting jobs that instances in touch told, and that they did not know.
+  // Queries for the number of waiting jobs to connected instances: answered with a number, and
+  // answered without one.
   std::size_t counted = 0;
   std::size_t unknown_counts = 0;
 };
 
-// The same seed gives the same play.
+// The same arguments always give the same simulation.
 exploration explore_cell(std::uint64_t seed, omission without = omission::none,
                          restarts how = restarts::none, std::size_t partitions = 1);
 } // namespace yardhill::model
--- a/Source/Core/Model/CellFaults.h
+++ b/Source/Core/Model/CellFaults.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// What befalls an explored cell: troubles drawn from its seed, at any moment, also over each other.
+// Injects faults, drawn from the seed, into an explored cell. Faults occur at any moment and may
+// overlap.
 
 #include <chrono>
 #include <random>
@@ -16,9 +17,9 @@
 
 namespace yardhill::model
 {
-// A worker whose entry is not renewed for this long is taken off the list.
-inline constexpr std::chrono::milliseconds k_entry_lapse{4500};
-// A planned stop's grace; a process that is not through by then is killed.
+// A worker's entry that is not renewed for this long is removed from the list of workers.
+inline constexpr std::chrono::milliseconds k_entry_expiry{4500};
+// Grace period of a planned stop; a process that has not finished by then is killed.
 inline constexpr std::chrono::seconds k_stop_grace{6};
 
 class cell_faults
@@ -26,54 +27,55 @@
 public:
   cell_faults(explored_cell& cell, omission without);
 
-  // Schedules two to six troubles for the first seconds of the play.
+  // Schedules two to six faults, 2 to 18 s from now.
   void draw();
-  // Schedules restarts of workers besides: from now on most new lives keep their worker's id.
+  // Additionally schedules restarts of workers. From now on most new incarnations keep their
+  // worker's id.
   void draw_restarts(std::uint64_t seed);
-  // What has happened so far.
-  const std::vector<std::string>& told() const { return m_told; }
-  // When the latest of them ended, or will.
+  // Descriptions of the faults injected so far.
+  const std::vector<std::string>& descriptions() const { return m_descriptions; }
+  // The time at which the last effect of the faults injected so far ends or will end.
   time_point disturbed_until() const { return m_disturbed_until; }
 
 private:
-  using cut_pairs = std::vector<std::pair<std::string, std::string>>;
+  using network_cuts = std::vector<std::pair<std::string, std::string>>;
 
-  void befall();
-  void befall_restart();
+  void inject_random_fault();
+  void inject_random_restart();
   void kill_owner();
   void kill_all();
-  void stop_one();
+  void stop_random_instance();
   void lose_owners_under_burst();
-  void freeze_one();
-  void cut_from_store();
-  void store_away();
-  void lose_answers();
-  void lose_orders();
-  void late_orders();
+  void freeze_random_instance();
+  void isolate_from_store();
+  void make_store_unreachable();
+  void lose_store_replies();
+  void lose_worker_replies();
+  void delay_worker_calls();
   void crash_worker();
   void drain_worker();
-  void cut_worker();
-  void cut_zone();
+  void isolate_worker();
+  void isolate_zone();
   void forget_history();
   void silence_parts();
   void step_clock();
-  void slow_one();
+  void throttle_random_instance();
   void slow_store();
-  void reborn_worker();
+  void restart_with_stale_entry();
   void reuse_address();
-  void break_entries();
+  void corrupt_entries();
   void submit_crashing();
-  void shrink_rooms();
-  void suspend_one();
+  void shrink_capacities();
+  void suspend_random_instance();
   void lose_owners_in_series();
-  void turn_away();
+  void reject_store_calls();
   void kill_in_series();
-  void kill_one();
+  void kill_random_instance();
   void restart_workers();
-  void restart_behind_cut();
-  void restart_beside_late_orders();
-  void restart_beside_lost_owner();
-  void restart_beside_crashing();
+  void restart_while_isolated();
+  void restart_during_delayed_calls();
+  void restart_during_owner_loss();
+  void restart_during_crashing_jobs();
 
   void lose_next_owner(time_point end);
   void lose_owner(explored_instance& which);
@@ -81,28 +83,28 @@
   void kill_instance(explored_instance& which, duration down);
   void start_again(explored_instance& which, duration after);
   void wait_for_hand_over(explored_instance& which, time_point latest);
-  void cut_for(const cut_pairs& pairs, duration time);
+  void cut_links_for(const network_cuts& pairs, duration time);
   void replace_worker(fleet_worker& which);
   std::uint64_t draw_restart(std::uint64_t below);
   duration draw_restart_time(std::chrono::milliseconds least, std::chrono::milliseconds most);
-  incarnation_plan plan_life();
-  // So many times in a row.
+  incarnation_plan plan_incarnation();
+  // Restarts the worker `times` times in a row.
   void restart(fleet_worker& which, std::uint64_t times);
-  void begin_again(fleet_worker& which, std::uint64_t times);
-  void set_room(fleet_worker& which, const common::resources& room);
-  cut_pairs cut_of(const fleet_worker& which) const;
-  void forget_mechanism();
+  void start_next_incarnation(fleet_worker& which, std::uint64_t times);
+  void change_capacity(fleet_worker& which, const common::resources& room);
+  network_cuts links_of(const fleet_worker& which) const;
+  void drop_omitted_rows();
   void spend_quota(explored_instance& which, const process_time* process, time_point end);
-  void note(const std::string& what);
-  // What is told of lasts for so long from now on.
-  void lasts(duration time);
-  void crash_for_good();
-  void trouble_owner();
+  void record_fault(const std::string& description);
+  // Counts the cell as disturbed for at least `time` from now on.
+  void extend_disturbance(duration time);
+  void crash_permanently();
+  void disrupt_owner();
   explored_instance* owner();
 
   explored_cell& m_cell;
   omission m_without;
-  std::vector<std::string> m_told;
+  std::vector<std::string> m_descriptions;
   time_point m_disturbed_until{};
   std::mt19937_64 m_restart_random;
 };
--- a/Source/Core/Model/CellRestartFaults.cpp
+++ b/Source/Core/Model/CellRestartFaults.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Workers that start again under the id that they had. They are drawn from a generator of their
-// own, so that a seed's other troubles are the same with them and without.
+// Restarts of workers under their previous ids. They are drawn from a separate random generator, so
+// that the seed's other faults are the same with and without them.
 
 #include "Model/CellFaults.h"
 
@@ -17,21 +17,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// One life in so many bears another id; one in so many is of another kind; one in so many begins
-// while its machine's time of day is off.
-constexpr std::uint64_t k_new_id_share = 4;
-constexpr std::uint64_t k_other_kind_share = 5;
-constexpr std::uint64_t k_clock_off_share = 4;
-// A new life's clock shows less than this at first, as a rule; one in so many shows anything below
-// the larger bound.
-constexpr std::uint64_t k_young_clock_ms = 3000;
-constexpr std::uint64_t k_old_clock_ms = 200000;
-constexpr std::uint64_t k_old_clock_share = 3;
+// Odds, one in this many new incarnations: the worker gets another id; has another capacity; starts
+// while its machine's wall clock is off.
+constexpr std::uint64_t k_new_id_odds = 4;
+constexpr std::uint64_t k_other_capacity_odds = 5;
+constexpr std::uint64_t k_clock_off_odds = 4;
+// A new incarnation's clock usually starts below k_low_clock_ms; one in k_high_clock_odds starts
+// anywhere below k_high_clock_ms.
+constexpr std::uint64_t k_low_clock_ms = 3000;
+constexpr std::uint64_t k_high_clock_ms = 200000;
+constexpr std::uint64_t k_high_clock_odds = 3;
 constexpr std::uint64_t k_most_clock_off_ms = 8000;
-// A new life writes its first entry within a beat.
-constexpr milliseconds k_beat{1500};
-constexpr std::uint64_t k_series_share = 3;
-constexpr double k_many_late = 0.3;
+// A new incarnation writes its first entry within one period of entry writes.
+constexpr milliseconds k_entry_period{1500};
+constexpr std::uint64_t k_series_odds = 3;
+constexpr double k_high_delayed_share = 0.3;
 } // namespace
 
 std::uint64_t cell_faults::draw_restart(std::uint64_t below)
@@ -45,14 +45,14 @@
                      draw_restart(static_cast<std::uint64_t>((most - least).count()))));
 }
 
-incarnation_plan cell_faults::plan_life()
+incarnation_plan cell_faults::plan_incarnation()
 {
   incarnation_plan plan;
-  plan.keeps_id = draw_restart(k_new_id_share) != 0;
+  plan.keeps_id = draw_restart(k_new_id_odds) != 0;
   const std::uint64_t most =
-      draw_restart(k_old_clock_share) == 0 ? k_old_clock_ms : k_young_clock_ms;
+      draw_restart(k_high_clock_odds) == 0 ? k_high_clock_ms : k_low_clock_ms;
   plan.clock = milliseconds(static_cast<std::int64_t>(draw_restart(most)));
-  if (draw_restart(k_clock_off_share) == 0)
+  if (draw_restart(k_clock_off_odds) == 0)
     plan.wall_ahead = milliseconds(static_cast<std::int64_t>(draw_restart(k_most_clock_off_ms)) -
                                    static_cast<std::int64_t>(k_most_clock_off_ms / 2));
   return plan;
@@ -61,29 +61,29 @@
 void cell_faults::draw_restarts(std::uint64_t seed)
 {
   m_restart_random.seed(seed);
-  m_cell.fleet().set_incarnation_planner([this] { return plan_life(); });
+  m_cell.fleet().set_incarnation_planner([this] { return plan_incarnation(); });
   const std::uint64_t count = 2 + draw_restart(4);
   for (std::uint64_t i = 0; i < count; ++i)
     m_cell.time().schedule(draw_restart_time(milliseconds(2000), milliseconds(18000)),
-                           [this] { befall_restart(); });
+                           [this] { inject_random_restart(); });
 }
 
-void cell_faults::befall_restart()
+void cell_faults::inject_random_restart()
 {
   using kind = void (cell_faults::*)();
   static constexpr std::array<kind, 5> k_kinds{
-      &cell_faults::restart_workers, &cell_faults::restart_behind_cut,
-      &cell_faults::restart_beside_late_orders, &cell_faults::restart_beside_lost_owner,
-      &cell_faults::restart_beside_crashing};
+      &cell_faults::restart_workers, &cell_faults::restart_while_isolated,
+      &cell_faults::restart_during_delayed_calls, &cell_faults::restart_during_owner_loss,
+      &cell_faults::restart_during_crashing_jobs};
   (this->*k_kinds[draw_restart(k_kinds.size())])();
 }
 
-// Some or most workers at once; some of them several times in a row.
+// Restarts some or most workers at once, either once or three times in a row each.
 void cell_faults::restart_workers()
 {
   const std::uint64_t most = m_cell.workers().size() * 2 / 3;
   const std::uint64_t count = 1 + draw_restart(most);
-  const std::uint64_t times = draw_restart(k_series_share) == 0 ? 3 : 1;
+  const std::uint64_t times = draw_restart(k_series_odds) == 0 ? 3 : 1;
   for (std::uint64_t i = 0; i < count; ++i)
     restart(m_cell.workers()[draw_restart(m_cell.workers().size())], times);
 }
@@ -92,25 +92,25 @@
 {
   if (!which.model || times == 0)
     return;
-  note("restart " + which.settings.life);
+  record_fault("restart " + which.settings.life);
   m_cell.judge().worker_crashed(which.settings.life);
   worker_fleet::end_life(which);
   const duration down = draw_restart_time(milliseconds(100), milliseconds(4000));
-  lasts(down + k_beat);
-  m_cell.time().schedule(down, [this, &which, times] { begin_again(which, times); });
+  extend_disturbance(down + k_entry_period);
+  m_cell.time().schedule(down, [this, &which, times] { start_next_incarnation(which, times); });
 }
 
-void cell_faults::begin_again(fleet_worker& which, std::uint64_t times)
+void cell_faults::start_next_incarnation(fleet_worker& which, std::uint64_t times)
 {
   if (which.model)
     return;
-  const common::resources whole = which.settings.capacity;
-  if (draw_restart(k_other_kind_share) == 0)
-    which.settings.capacity = common::scaled(whole, 0.5);
+  const common::resources full_capacity = which.settings.capacity;
+  if (draw_restart(k_other_capacity_odds) == 0)
+    which.settings.capacity = common::scaled(full_capacity, 0.5);
   m_cell.fleet().begin_life(which);
-  which.settings.capacity = whole; // of the life after it
+  which.settings.capacity = full_capacity; // for the next incarnation
   const std::string life = which.settings.life;
-  m_cell.time().schedule(draw_restart_time(milliseconds(1), k_beat),
+  m_cell.time().schedule(draw_restart_time(milliseconds(1), k_entry_period),
                          [this, &which, life]
                          {
                            if (which.model && which.settings.life == life)
@@ -121,35 +121,35 @@
                            [this, &which, times] { restart(which, times - 1); });
 }
 
-void cell_faults::restart_behind_cut()
+void cell_faults::restart_while_isolated()
 {
   fleet_worker& which = m_cell.workers()[draw_restart(m_cell.workers().size())];
-  note("restart behind a cut: " + which.settings.life);
-  cut_for(cut_of(which), draw_restart_time(milliseconds(1500), milliseconds(9000)));
+  record_fault("restart behind a cut: " + which.settings.life);
+  cut_links_for(links_of(which), draw_restart_time(milliseconds(1500), milliseconds(9000)));
   m_cell.time().schedule(draw_restart_time(milliseconds(50), milliseconds(1500)),
                          [this, &which] { restart(which, 1); });
 }
 
-// Orders to the life before are carried out by the one after it.
-void cell_faults::restart_beside_late_orders()
+// Requests sent to one incarnation are executed late, by the next one.
+void cell_faults::restart_during_delayed_calls()
 {
-  note("many orders are carried out late");
-  lasts(seconds(4));
-  m_cell.network().troubles.delayed_worker_call_share = k_many_late;
+  record_fault("many orders are carried out late");
+  extend_disturbance(seconds(4));
+  m_cell.network().troubles.delayed_worker_call_share = k_high_delayed_share;
   m_cell.time().schedule(seconds(4),
                          [this] { m_cell.network().troubles.delayed_worker_call_share = 0.0; });
   m_cell.time().schedule(draw_restart_time(milliseconds(200), milliseconds(4000)),
                          [this] { restart_workers(); });
 }
 
-void cell_faults::restart_beside_lost_owner()
+void cell_faults::restart_during_owner_loss()
 {
   restart_workers();
   m_cell.time().schedule(draw_restart_time(milliseconds(0), milliseconds(5000)),
-                         [this] { trouble_owner(); });
+                         [this] { disrupt_owner(); });
 }
 
-void cell_faults::restart_beside_crashing()
+void cell_faults::restart_during_crashing_jobs()
 {
   submit_crashing();
   m_cell.time().schedule(draw_restart_time(milliseconds(0), milliseconds(4000)),
--- a/Source/Core/Model/ConnectivityMonitor.cpp
+++ b/Source/Core/Model/ConnectivityMonitor.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 constexpr std::chrono::milliseconds k_period{25};
-// An instance that has been undisturbed for this long is in touch again.
-constexpr std::chrono::seconds k_contact{3};
+// An instance that has been undisturbed for this long counts as connected again.
+constexpr std::chrono::seconds k_connected_after{3};
 } // namespace
 
 connectivity_monitor::connectivity_monitor(explored_cell& cell) : m_cell(cell)
@@ -21,9 +21,9 @@
 {
   for (const explored_instance& each : m_cell.instances())
   {
-    contact& seen = m_contacts[each.name];
-    if (seen.process != each.time.get() || !undisturbed(each))
-      seen = {each.time.get(), m_cell.time().now()};
+    contact& recorded = m_contacts[each.name];
+    if (recorded.process != each.time.get() || !undisturbed(each))
+      recorded = {each.time.get(), m_cell.time().now()};
   }
   m_cell.time().schedule(k_period, [this] { look(); });
 }
@@ -36,10 +36,10 @@
          !m_cell.network().cut(which.name, "store");
 }
 
-bool connectivity_monitor::in_touch(const explored_instance& which) const
+bool connectivity_monitor::connected(const explored_instance& which) const
 {
   const auto found = m_contacts.find(which.name);
   return found != m_contacts.end() && which.up() && found->second.process == which.time.get() &&
-         undisturbed(which) && m_cell.time().now() - found->second.since >= k_contact;
+         undisturbed(which) && m_cell.time().now() - found->second.since >= k_connected_after;
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/ConnectivityMonitor.h
+++ b/Source/Core/Model/ConnectivityMonitor.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// Which instances of an explored cell are in touch: nothing has befallen them or the store for a
-// while, so what they say has to be right.
+// Tracks which instances of an explored cell are connected: neither they nor the store have been
+// disturbed for a while, so that their answers have to be right.
 
 #include <map>
 #include <string>
@@ -16,15 +16,15 @@
 class connectivity_monitor
 {
 public:
-  // Looks again and again, from now on; the cell outlives it.
+  // Checks the instances periodically from now on. The cell must outlive the monitor.
   explicit connectivity_monitor(explored_cell& cell);
 
-  bool in_touch(const explored_instance& which) const;
+  bool connected(const explored_instance& which) const;
 
 private:
   struct contact
   {
-    const process_time* process = nullptr; // a later one has been started anew
+    const process_time* process = nullptr; // differs after a restart of the instance
     time_point since{};
   };
 
--- a/Source/Core/Model/CountJudge.cpp
+++ b/Source/Core/Model/CountJudge.cpp
@@ -14,11 +14,13 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds k_period{200};
-// A job that was accepted this long ago has to be counted: known after 3 s, told after 2 s more.
-constexpr milliseconds k_counted_after{5000};
-constexpr const char* k_patience_ms = "3000";
-// A configuration is in force so long after it was written.
-constexpr milliseconds k_in_force_after{3000};
+// A job that was accepted this long ago must be counted: it is known after 3 s and reported within
+// 2 s more.
+// more.
+constexpr milliseconds k_count_delay{5000};
+constexpr const char* k_timeout_ms = "3000";
+// A configuration must be in force this long after it was written.
+constexpr milliseconds k_configuration_delay{3000};
 } // namespace
 
 count_judge::count_judge(explored_cell& cell, time_point end)
@@ -33,7 +35,7 @@
     return;
   for (explored_instance& each : m_cell.instances())
   {
-    if (!m_contacts.in_touch(each))
+    if (!m_contacts.connected(each))
       continue;
     ask(each, k_urgent_prefix);
     ask(each, k_plain_prefix);
@@ -43,18 +45,18 @@
 
 void count_judge::ask(explored_instance& which, const std::string& prefix)
 {
-  const time_point accepted_by = m_cell.time().now() - k_counted_after;
-  const std::uint64_t due = m_cell.version_written_by(m_cell.time().now() - k_in_force_after);
+  const time_point accepted_by = m_cell.time().now() - k_count_delay;
+  const std::uint64_t due = m_cell.version_written_by(m_cell.time().now() - k_configuration_delay);
   which.time->schedule(
       duration{0},
       [this, &which, prefix, accepted_by, due]
       {
         which.core->handle(
-            {http::method::get, k_host, prefix, "", k_patience_ms},
+            {http::method::get, k_host, prefix, "", k_timeout_ms},
             [this, &which, prefix, accepted_by, due](const http::outgoing_answer& answer)
             {
               on_answer(which, prefix, m_cell.callers().waiting(prefix, accepted_by), answer);
-              if (answer.status == 200 && m_contacts.in_touch(which))
+              if (answer.status == 200 && m_contacts.connected(which))
                 check_configuration(which, due);
             });
       });
@@ -63,8 +65,8 @@
 void count_judge::on_answer(const explored_instance& which, const std::string& prefix,
                             std::uint64_t waiting, const http::outgoing_answer& answer)
 {
-  // Something may have befallen it on the way of the question.
-  if (!m_contacts.in_touch(which))
+  // The instance may have been disturbed while the query was in flight.
+  if (!m_contacts.connected(which))
     return;
   if (answer.status != 200)
   {
@@ -72,10 +74,10 @@
     return;
   }
   ++m_counted;
-  const std::uint64_t told =
+  const std::uint64_t reported =
       nlohmann::json::parse(answer.body).at(adapter::wire::k_pending).get<std::uint64_t>();
-  if (2 * told < waiting)
-    m_violations.push_back("MIXED: " + which.name + " says that " + std::to_string(told) +
+  if (2 * reported < waiting)
+    m_violations.push_back("MIXED: " + which.name + " says that " + std::to_string(reported) +
                            " jobs of " + prefix + " wait, of " + std::to_string(waiting) +
                            now_text());
 }
--- a/Source/Core/Model/CountJudge.h
+++ b/Source/Core/Model/CountJudge.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-// Asks every instance of an explored cell again and again how many jobs of each queue wait, and
-// holds the answers of those in touch to what callers and workers have seen: of the jobs that were
-// accepted a while ago and have not begun, no count may leave out more than half.
+// Periodically queries every connected instance of an explored cell for the number of waiting jobs
+// of each queue, and compares the answers with the observations of callers and workers: a count
+// must include at least half of the jobs that were accepted a while ago and have not started.
 
 #include <cstdint>
 #include <string>
@@ -20,11 +20,11 @@
 class count_judge
 {
 public:
-  // From now on until `end`; the cell outlives it.
+  // Checks from now until `end`. The cell must outlive the judge.
   count_judge(explored_cell& cell, time_point end);
 
   const std::vector<std::string>& violations() const { return m_violations; }
-  // Answers of instances in touch that said a number, and those that did not.
+  // Answers of connected instances that contained a number, and those that did not.
   std::size_t counted() const { return m_counted; }
   std::size_t unknown() const { return m_unknown; }
 
@@ -33,7 +33,8 @@
   void ask(explored_instance& which, const std::string& prefix);
   void on_answer(const explored_instance& which, const std::string& prefix, std::uint64_t waiting,
                  const http::outgoing_answer& answer);
-  // Whoever serves does it by a configuration that is in force.
+  // Checks that an instance that answers uses at least the configuration version `due`, which must
+  // be in force.
   void check_configuration(const explored_instance& which, std::uint64_t due);
   std::string now_text() const;
 
--- a/Source/Core/Model/ExploredCell.cpp
+++ b/Source/Core/Model/ExploredCell.cpp
@@ -22,15 +22,16 @@
 namespace wire = adapter::wire;
 
 constexpr std::size_t k_instances = 4;
-// In thousandths of a core: partitions move to the strong ones.
+// In thousandths of a core. The values differ, since partitions move to instances with more
+// processor.
 constexpr std::array<std::uint32_t, k_instances> k_processor_millis{120, 500, 120, 500};
-constexpr std::size_t k_workers = 9; // a partition
-// An instance is young for this long.
-constexpr milliseconds k_young{300};
-constexpr milliseconds k_break_way{1};
-// From a crash by what a worker ran until its next life.
-constexpr milliseconds k_crash_back{1500};
-constexpr milliseconds k_crash_back_latest{5000};
+constexpr std::size_t k_workers = 9; // per partition
+// An instance counts as just started for this long.
+constexpr milliseconds k_recently_started{300};
+constexpr milliseconds k_reset_delay{1};
+// Bounds of the time from a crash that a run caused until the worker's next incarnation.
+constexpr milliseconds k_min_crash_downtime{1500};
+constexpr milliseconds k_max_crash_downtime{5000};
 const common::endpoint k_store_address{"10.200.0.1", 80};
 const common::endpoint k_advice_address{"10.200.0.2", 80};
 
@@ -66,10 +67,10 @@
       m_network(m_time, seed + 1),
       m_advice(m_time, seed, {}),
       m_store(m_time),
-      m_judge([this](const std::string& job) { return keeps(job); }),
+      m_judge([this](const std::string& job) { return is_stored(job); }),
       m_callers(m_time, seed + 2, m_judge,
                 [this](http::incoming_request request, http::responder respond)
-                { return carry(std::move(request), std::move(respond)); }),
+                { return deliver_request(std::move(request), std::move(respond)); }),
       m_seed(seed),
       m_fleet(
           m_time, m_store, m_advice, m_judge,
@@ -109,13 +110,13 @@
 {
   m_store.put({wire::k_operator_table, "", wire::k_config_key},
               configuration(version, unused_queues));
-  m_configured[m_time.now()] = version;
+  m_configurations[m_time.now()] = version;
 }
 
 std::uint64_t explored_cell::version_written_by(time_point when) const
 {
-  const auto later = m_configured.upper_bound(when);
-  return later == m_configured.begin() ? 0 : std::prev(later)->second;
+  const auto later = m_configurations.upper_bound(when);
+  return later == m_configurations.begin() ? 0 : std::prev(later)->second;
 }
 
 void explored_cell::add_workers(std::size_t count)
@@ -144,23 +145,24 @@
 {
   const std::string key = task.job + std::to_string(task.place.step) +
                           std::to_string(task.place.index) + std::to_string(run) + worker;
-  const std::uint64_t luck = common::stable_hash(key, m_seed);
+  const std::uint64_t random_bits = common::stable_hash(key, m_seed);
   run_course course;
-  course.takes = milliseconds(static_cast<std::int64_t>(200 + luck % 1500));
-  course.fails = luck / 2000 % 25 == 0;
+  course.takes = milliseconds(static_cast<std::int64_t>(200 + random_bits % 1500));
+  course.fails = random_bits / 2000 % 25 == 0;
   if (m_callers.specs().at(task.job).steps[task.place.step].long_running)
-    course.takes = seconds(1 + static_cast<std::int64_t>(luck % 20));
+    course.takes = seconds(1 + static_cast<std::int64_t>(random_bits % 20));
   course.crashes_after = m_callers.crashes_after(task);
-  // No run of such a task ends before that.
+  // No run of a task that crashes its worker ends before the crash.
   if (course.crashes_after)
     course = {*course.crashes_after + seconds(1), false, course.crashes_after};
   return course;
 }
 
-// It is back after some seconds. Its entry lapses meanwhile, or the next life's replaces it.
+// Restarts the worker after some seconds. By then its entry has expired, or the next incarnation's
+// entry replaces it.
 void explored_cell::worker_crashed(fleet_worker& which)
 {
-  const duration back = draw_time(k_crash_back, k_crash_back_latest);
+  const duration back = draw_time(k_min_crash_downtime, k_max_crash_downtime);
   m_time.schedule(back,
                   [this, &which]
                   {
@@ -198,7 +200,7 @@
   for (const auto& each : std::exchange(which.connections, {}))
   {
     if (*each)
-      m_time.schedule(k_break_way,
+      m_time.schedule(k_reset_delay,
                       [respond = std::exchange(*each, nullptr)] { respond(broken_connection()); });
   }
   for (explored_instance& other : m_instances)
@@ -250,8 +252,8 @@
   const node::node_world world{
       *which.time,   *which.sender, *which.sender, send, [](const http::listener_limits&) {},
       *which.metrics};
-  which.core =
-      std::make_unique<node::node_core>(settings, "life-" + std::to_string(++m_lives), world);
+  which.core = std::make_unique<node::node_core>(settings,
+                                                 "life-" + std::to_string(++m_incarnations), world);
   which.core->start();
   tick(which);
   for (explored_instance& other : m_instances)
@@ -295,35 +297,35 @@
   return up.empty() ? nullptr : up[draw(up.size())];
 }
 
-bool explored_cell::carry(http::incoming_request request, http::responder respond)
+bool explored_cell::deliver_request(http::incoming_request request, http::responder respond)
 {
-  explored_instance* const where = asked_by_caller();
+  explored_instance* const where = choose_contacted_instance();
   if (where == nullptr)
     return false;
   const auto connection = std::make_shared<http::responder>(std::move(respond));
   std::erase_if(where->connections, [](const auto& each) { return !*each; });
   where->connections.push_back(connection);
-  const auto answer = [connection](const http::outgoing_answer& told)
+  const auto answer = [connection](const http::outgoing_answer& answer_to_send)
   {
     if (*connection)
-      std::exchange(*connection, nullptr)(told);
+      std::exchange(*connection, nullptr)(answer_to_send);
   };
   where->time->schedule(duration{0}, [where, request = std::move(request), answer]
                         { where->core->handle(request, answer); });
   return true;
 }
 
-explored_instance* explored_cell::asked_by_caller()
+explored_instance* explored_cell::choose_contacted_instance()
 {
   for (explored_instance& each : m_instances)
   {
-    if (each.up() && m_time.now() - each.started < k_young && draw(2) == 0)
+    if (each.up() && m_time.now() - each.started < k_recently_started && draw(2) == 0)
       return &each;
   }
   return any_up();
 }
 
-bool explored_cell::keeps(const std::string& job) const
+bool explored_cell::is_stored(const std::string& job) const
 {
   const adapter::row_key at = node::job_key(job);
   const auto value = m_store.value(at);
--- a/Source/Core/Model/ExploredCell.h
+++ b/Source/Core/Model/ExploredCell.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// A whole cell in virtual time: four instances as they run in production against models of the
+// A whole cell in virtual time: four instances that run the production code against models of the
 // store, the workers, the advice service, the network and the callers.
 
 #include <cstdint>
@@ -27,19 +27,19 @@
 
 namespace yardhill::model
 {
-// One instance's process.
+// An instance and its process.
 struct explored_instance
 {
   std::string name;
   std::string zone;
-  std::shared_ptr<processor_model> processor; // none: work takes no time
+  std::shared_ptr<processor_model> processor; // if null, processing takes no time
   std::unique_ptr<process_time> time;
   std::unique_ptr<network_sender> sender;
   std::unique_ptr<common::metrics> metrics;
   time_point started{};
-  // Of callers that wait for an answer; an empty one has its answer.
+  // Connections of callers that wait for an answer; an empty responder has been answered.
   std::vector<std::shared_ptr<http::responder>> connections;
-  std::unique_ptr<node::node_core> core; // last: it goes first
+  std::unique_ptr<node::node_core> core; // last member, since it must be destroyed first
 
   bool up() const { return core != nullptr; }
 };
@@ -49,7 +49,8 @@
 public:
   static constexpr std::size_t k_zones = 3;
 
-  // The more partitions, the more workers. With `costs`, what instances do takes processor time.
+  // The number of workers is proportional to `partitions`. With `costs`, the instances' work takes
+  // processor time.
   explicit explored_cell(std::uint64_t seed, std::size_t partitions = 1,
                          std::optional<processor_costs> costs = std::nullopt);
   explored_cell(const explored_cell&) = delete;
@@ -65,39 +66,41 @@
   std::vector<explored_instance>& instances() { return m_instances; }
   time_point begin() const { return m_begin; }
 
-  // From the seed.
+  // Random values determined by the seed: a number, a time, an instance that is up (null if none
+  // is).
   std::uint64_t draw(std::uint64_t below) { return m_random() % below; }
   duration draw_time(std::chrono::milliseconds least, std::chrono::milliseconds most);
   explored_instance* any_up();
 
-  // The operator's next version, with the same queues and so many that nobody uses, each of which
-  // makes the row some 0.25 KB longer.
+  // Writes the operator's next configuration, with the same queues plus `unused_queues` that nobody
+  // uses, each of which makes the row about 0.25 KB longer.
   void configure(std::uint64_t version, std::size_t unused_queues = 0);
-  // The newest version that had been written by then; 0 if there was none.
+  // The newest configuration version that had been written by that time; 0 if there was none.
   std::uint64_t version_written_by(time_point when) const;
   void start_instance(explored_instance& which);
-  // From now on all processes read a clock that stands still while their machines are suspended.
+  // From now on all processes read a clock that stops while their machine is suspended.
   void read_suspended_clocks();
-  // Ends its process as it is; the others' links and the callers' connections to it break.
+  // Kills the instance's process; its links to other instances and the callers' connections to it
+  // break.
   void end_instance(explored_instance& which);
-  // Both ends of a link are told that it is up, or broken.
+  // Notifies both instances that the link between them is up or has broken.
   void link(explored_instance& one, explored_instance& other, bool up);
   void start_worker(fleet_worker& which);
-  // The worker's entry comes, changes or goes, as the worker and its way to the store are.
+  // Writes the worker's entry, or removes it if the worker is down or can't reach the store.
   void update_entry(fleet_worker& which);
 
 private:
   void add_workers(std::size_t count);
-  // How a run goes follows from the seed.
+  // The course of a run, which is determined by the seed.
   run_course course_of(const task_ref& task, run_number run, const std::string& worker) const;
   void worker_crashed(fleet_worker& which);
   void tick(explored_instance& which);
-  // Whether the store has the job, or the mark of a refusal or nothing in its place.
-  bool keeps(const std::string& job) const;
-  // Often one that has just started, if there is one.
-  explored_instance* asked_by_caller();
-  // Brings a caller's request to an instance that is up.
-  bool carry(http::incoming_request request, http::responder respond);
+  // Whether the store has the job as accepted; false for a refusal's mark or no row in its place.
+  bool is_stored(const std::string& job) const;
+  // The instance that a caller contacts: often one that has just started, if there is one.
+  explored_instance* choose_contacted_instance();
+  // Delivers a caller's request to an instance that is up; returns false if none is.
+  bool deliver_request(http::incoming_request request, http::responder respond);
 
   virtual_time m_time;
   std::mt19937_64 m_random;
@@ -109,8 +112,9 @@
   std::uint64_t m_seed;
   worker_fleet m_fleet;
   std::vector<explored_instance> m_instances;
-  std::map<time_point, std::uint64_t> m_configured; // the operator's versions, by when
-  std::uint64_t m_lives = 0;
+  std::map<time_point, std::uint64_t>
+      m_configurations; // the operator's versions, by the time of writing
+  std::uint64_t m_incarnations = 0;
   std::optional<processor_costs> m_costs;
   bool m_suspended_clocks = false;
   time_point m_begin;
--- a/Source/Core/Model/ProcessorModel.cpp
+++ b/Source/Core/Model/ProcessorModel.cpp
@@ -12,46 +12,46 @@
 {
 }
 
-void processor_model::work(event_kind kind, std::function<void()> what)
+void processor_model::work(event_kind kind, std::function<void()> action)
 {
-  m_waiting.push_back({kind, m_time.now(), std::move(what)});
+  m_waiting.push_back({kind, m_time.now(), std::move(action)});
   if (!m_busy)
-    work_off();
+    process_next();
 }
 
-void processor_model::work_off()
+void processor_model::process_next()
 {
   m_busy = !m_waiting.empty();
   if (!m_busy)
     return;
   if (m_time.now() < m_frozen_until)
   {
-    work_off_in(m_frozen_until - m_time.now());
+    process_next_after(m_frozen_until - m_time.now());
     return;
   }
   const waiting_event event = std::move(m_waiting.front());
   m_waiting.pop_front();
-  m_late = m_time.now() - event.came;
-  m_latest = std::max(m_latest, m_late);
-  m_left = event.kind == event_kind::timer ? m_costs.timer : m_costs.event;
-  event.what();
-  m_worked += m_left;
-  work_off_in(m_left);
+  m_last_delay = m_time.now() - event.arrived;
+  m_longest_delay = std::max(m_longest_delay, m_last_delay);
+  m_remaining_cost = event.kind == event_kind::timer ? m_costs.timer : m_costs.event;
+  event.action();
+  m_busy_time += m_remaining_cost;
+  process_next_after(m_remaining_cost);
 }
 
-void processor_model::work_off_in(duration time)
+void processor_model::process_next_after(duration time)
 {
   m_time.schedule(time,
                   [this, alive = std::weak_ptr(m_alive)]
                   {
                     if (!alive.expired())
-                      work_off();
+                      process_next();
                   });
 }
 
 double processor_model::used() const
 {
-  const std::chrono::duration<double> worked = m_worked;
+  const std::chrono::duration<double> worked = m_busy_time;
   const std::chrono::duration<double> passed = m_time.now() - m_begin;
   return passed.count() > 0 ? worked / passed : 0.0;
 }
--- a/Source/Core/Model/ProcessorModel.h
+++ b/Source/Core/Model/ProcessorModel.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// The processor of one process with one thread: works events off in the order in which they come,
-// each for some time, so that a busy process reads answers late and its timers run late.
+// Model of the processor of a single-threaded process: it processes events in the order of arrival
+// and spends time on each, so that a busy process reads answers late and its timers fire late.
 
 #include <cstdint>
 #include <deque>
@@ -15,11 +15,11 @@
 
 namespace yardhill::model
 {
-// Time on the clock, at the process's share of a core.
+// Elapsed time on the clock, given the process's share of a core.
 struct processor_costs
 {
-  duration timer{}; // a timer that runs out
-  duration event{}; // an answer, a request or a message that comes
+  duration timer{}; // a timer that expires
+  duration event{}; // an answer, a request or a message that arrives
   duration call{};  // a call or a message that is sent
 };
 
@@ -34,26 +34,27 @@
 public:
   processor_model(virtual_time& time, const processor_costs& costs);
 
-  void work(event_kind kind, std::function<void()> what);
+  void work(event_kind kind, std::function<void()> action);
   void freeze_until(time_point end) { m_frozen_until = std::max(m_frozen_until, end); }
-  // The event that is worked off sends something.
-  void sends() { m_left += m_costs.call; }
-  // How late the latest event was begun, and the latest of all.
-  duration late() const { return m_late; }
-  duration latest() const { return m_latest; }
-  // The share of the time since its beginning in which it worked.
+  // Adds the cost of a call or message that the present event sends.
+  void sends() { m_remaining_cost += m_costs.call; }
+  // Delay from the arrival of an event until its processing began: of the last event, and the
+  // longest so far.
+  duration late() const { return m_last_delay; }
+  duration latest() const { return m_longest_delay; }
+  // The share of the time since construction in which the processor was busy.
   double used() const;
 
 private:
   struct waiting_event
   {
     event_kind kind;
-    time_point came;
-    std::function<void()> what;
+    time_point arrived;
+    std::function<void()> action;
   };
 
-  void work_off();
-  void work_off_in(duration time);
+  void process_next();
+  void process_next_after(duration time);
 
   virtual_time& m_time;
   processor_costs m_costs;
@@ -61,10 +62,11 @@
   bool m_busy = false;
   time_point m_frozen_until{};
   time_point m_begin = m_time.now();
-  duration m_left{}; // what the present event still costs
-  duration m_worked{};
-  duration m_late{};
-  duration m_latest{};
-  std::shared_ptr<int> m_alive = std::make_shared<int>(0); // the clock may outlive the process
+  duration m_remaining_cost{}; // remaining cost of the present event
+  duration m_busy_time{};
+  duration m_last_delay{};
+  duration m_longest_delay{};
+  std::shared_ptr<int> m_alive =
+      std::make_shared<int>(0); // expires with this object, which the clock may outlive
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/RunJudge.cpp
+++ b/Source/Core/Model/RunJudge.cpp
@@ -12,51 +12,54 @@
 {
 namespace
 {
-// An acknowledged cancellation has to have reached the workers by then; an owner that is cut off
-// does not hear of it and may go on for its authority (4.5 s) beyond the usual 3 s.
-constexpr std::chrono::milliseconds k_cancel_time{7500};
-// Nothing starts on a leaving worker, or one whose entry is not valid, any more by then: the usual
-// 2 s and the authority of an owner that is cut off.
-constexpr std::chrono::milliseconds k_leaving_time{6500};
-// A copy starts no later than this after its task's end was acknowledged, by an owner that is in
-// touch; one that is cut off goes on for its authority.
-constexpr std::chrono::seconds k_copy_late{1};
+// After this time no worker may start a run of a job whose cancellation was acknowledged: 3 s as a
+// rule, plus the authority (4.5 s) of an isolated owner, which does not learn of the cancellation
+// and may continue for that long.
+constexpr std::chrono::milliseconds k_cancel_limit{7500};
+// After this time nothing may start on a worker that leaves or whose entry is invalid: 2 s as a
+// rule, plus the authority of an isolated owner.
+constexpr std::chrono::milliseconds k_leaving_limit{6500};
+// The latest start of a speculative copy after its task's end was acknowledged, by a connected
+// owner; an isolated owner continues for its authority.
+constexpr std::chrono::seconds k_copy_grace{1};
 constexpr std::chrono::milliseconds k_authority{4500};
-// The platform's bounds for a task that is to last: it runs again within 3 s that begin 6 s after
-// its last run, and after 4 calm seconds; a trouble counts for 3 s after its end.
+// The platform's limits for a task that must keep running: it has to run again within 3 s. That
+// time begins 6 s after its last run and once the cell has been undisturbed for 4 s, where a fault
+// counts for 3 s after its end.
 constexpr std::chrono::seconds k_after_last_run{6};
-constexpr std::chrono::seconds k_calm{3 + 4};
-constexpr std::chrono::seconds k_run_again{3};
-// A task under which so many workers have crashed may be given up, and one that crashes them may be
-// started twice more after the third.
+constexpr std::chrono::seconds k_undisturbed{3 + 4};
+constexpr std::chrono::seconds k_restart_limit{3};
+// A task that was running while k_crashes_to_give_up workers crashed may be given up. A task that
+// crashes its workers may be started twice more after the third crash, and k_starts_over_limit
+// starts are a violation.
 constexpr std::size_t k_crashes_to_give_up = 2;
-constexpr std::size_t k_crashes_bounded = 3;
-constexpr std::size_t k_starts_beyond = 3;
+constexpr std::size_t k_crash_limit = 3;
+constexpr std::size_t k_starts_over_limit = 3;
 } // namespace
 
-void run_judge::violate(const std::string& rule, const task_ref& task, const std::string& what)
+void run_judge::violate(const std::string& rule, const task_ref& task, const std::string& message)
 {
   m_violations.push_back(rule + ": " + task.job + "." + std::to_string(task.place.cycle) + "." +
                          std::to_string(task.place.step) + "." + std::to_string(task.place.index) +
-                         ": " + what);
+                         ": " + message);
   common::log_request("judge_violation", task.job, {{"what", m_violations.back()}});
 }
 
 void run_judge::submitted(const std::string& job, const jobs::job_spec& spec,
                           std::uint32_t max_attempts)
 {
-  seen_job& seen = m_jobs[job];
-  seen.spec = spec;
-  seen.max_attempts = max_attempts;
+  observed_job& observed = m_jobs[job];
+  observed.spec = spec;
+  observed.max_attempts = max_attempts;
 }
 
 void run_judge::answered(const std::string& job, unsigned status)
 {
-  seen_job& seen = m_jobs[job];
-  seen.refused = status == 429 || status == 503;
-  if (seen.refused)
-    check_refusal(job, seen);
-  seen.accepted = seen.accepted || (status >= 200 && status < 300);
+  observed_job& observed = m_jobs[job];
+  observed.refused = status == 429 || status == 503;
+  if (observed.refused)
+    check_refusal(job, observed);
+  observed.accepted = observed.accepted || (status >= 200 && status < 300);
 }
 
 void run_judge::tried(const std::string& job)
@@ -64,14 +67,14 @@
   m_jobs[job].refused = false;
 }
 
-// A refusal is a promise about the job: it is not taken and never runs.
-void run_judge::check_refusal(const std::string& job, const seen_job& seen)
+// A refused job must not be stored as accepted and must never run.
+void run_judge::check_refusal(const std::string& job, const observed_job& observed)
 {
-  if (seen.started)
+  if (observed.started)
     violate("REFUSED", {job, {}}, "it was refused although it has started");
-  else if (seen.accepted)
+  else if (observed.accepted)
     violate("REFUSED", {job, {}}, "it was refused although it had been accepted");
-  else if (m_kept && m_kept(job))
+  else if (m_is_stored && m_is_stored(job))
     violate("REFUSED", {job, {}}, "it was refused although it is kept");
 }
 
@@ -88,61 +91,63 @@
 void run_judge::shown(const std::string& job, jobs::job_state state,
                       std::optional<common::time_point> at)
 {
-  seen_job& seen = m_jobs[job];
-  if (state == jobs::job_state::cancelled && !seen.cancel_asked)
+  observed_job& observed = m_jobs[job];
+  if (state == jobs::job_state::cancelled && !observed.cancel_asked)
     violate("LOST", {job, {}}, "shown as cancelled, which nobody asked for");
   if (state == jobs::job_state::failed)
-    check_failed(job, seen);
+    check_failed(job, observed);
   if (state != jobs::job_state::completed)
     return;
-  if (!seen.completed_at)
-    seen.completed_at = at;
-  for (std::uint32_t cycle = 0; cycle < seen.spec.cycles(); ++cycle)
+  if (!observed.completed_at)
+    observed.completed_at = at;
+  for (std::uint32_t cycle = 0; cycle < observed.spec.cycles(); ++cycle)
   {
-    for (std::uint32_t step = 0; step < seen.spec.steps.size(); ++step)
+    for (std::uint32_t step = 0; step < observed.spec.steps.size(); ++step)
     {
-      if (!step_done(job, seen, cycle, step))
+      if (!step_done(job, observed, cycle, step))
         violate("MIXED", {job, {cycle, step, 0}}, "shown as completed, but this step is not");
     }
   }
 }
 
-bool run_judge::out_of_attempts(const std::string& job, const seen_job& seen) const
+bool run_judge::out_of_attempts(const std::string& job, const observed_job& observed) const
 {
-  std::map<task_ref, std::set<run_number>> failures; // of a gang at its first member
+  std::map<task_ref, std::set<run_number>>
+      failures; // a gang's failures are counted at its first member
   for (auto each = m_tasks.lower_bound({job, {}}); each != m_tasks.end() && each->first.job == job;
        ++each)
   {
     task_ref counted = each->first;
-    if (seen.spec.steps[counted.place.step].gang)
+    if (observed.spec.steps[counted.place.step].gang)
       counted.place.index = 0;
     failures[counted].insert(each->second.failures.begin(), each->second.failures.end());
   }
   return std::any_of(failures.begin(), failures.end(),
-                     [&seen](const auto& each) { return each.second.size() >= seen.max_attempts; });
+                     [&observed](const auto& each)
+                     { return each.second.size() >= observed.max_attempts; });
 }
 
-// A job fails by its attempts, or since a task of it crashes workers; one that was on workers which
-// others have crashed must still be done.
-void run_judge::check_failed(const std::string& job, const seen_job& seen)
+// A job may fail because its attempts are used up or because one of its tasks crashes workers. A
+// job that only ran on workers which other jobs crashed must still be completed.
+void run_judge::check_failed(const std::string& job, const observed_job& observed)
 {
-  if (out_of_attempts(job, seen))
+  if (out_of_attempts(job, observed))
     return;
   bool crashes = false;
-  bool guilty = false;
+  bool causes_crashes = false;
   for (auto each = m_tasks.lower_bound({job, {}}); each != m_tasks.end() && each->first.job == job;
        ++each)
   {
     crashes |= each->second.crashes >= k_crashes_to_give_up;
-    guilty |= each->second.crashes_workers;
+    causes_crashes |= each->second.crashes_workers;
   }
   if (!crashes)
     violate("LOST", {job, {}}, "shown as failed, without attempts or crashes that explain it");
-  else if (!guilty)
+  else if (!causes_crashes)
     violate("INNOCENT", {job, {}}, "shown as failed, and others have crashed its workers");
 }
 
-bool run_judge::step_done(const std::string& job, const seen_job& of, std::uint32_t cycle,
+bool run_judge::step_done(const std::string& job, const observed_job& of, std::uint32_t cycle,
                           std::uint32_t step) const
 {
   const jobs::step_spec& spec = of.spec.steps[step];
@@ -155,16 +160,16 @@
   return spec.gang ? done > 0 : done == spec.count;
 }
 
-void run_judge::check_start(const seen_job& job, const observed_start& start)
+void run_judge::check_start(const observed_job& job, const observed_start& start)
 {
   const auto& place = start.task.place;
   const jobs::step_spec& spec = job.spec.steps[place.step];
-  const seen_task& task = m_tasks[start.task];
+  const observed_task& task = m_tasks[start.task];
   if (start.payload != job.spec.payload)
     violate("UNASKED", start.task, "another payload");
   if (!start.checkpoint.empty() && !task.checkpoints.contains(start.checkpoint) && !spec.gang)
     violate("UNASKED", start.task, "a checkpoint that is not its own");
-  if (job.cancelled_at && start.at > *job.cancelled_at + k_cancel_time)
+  if (job.cancelled_at && start.at > *job.cancelled_at + k_cancel_limit)
     violate("UNASKED", start.task, "started after its job was cancelled");
   if (!spec.speculative && !task.active.empty())
     violate("TWICE", start.task,
@@ -182,18 +187,19 @@
   }
 }
 
-common::duration run_judge::copy_late() const
+common::duration run_judge::copy_grace() const
 {
-  return k_copy_late + (m_in_touch ? common::duration{0} : k_authority);
+  return k_copy_grace + (m_instances_connected ? common::duration{0} : k_authority);
 }
 
-void run_judge::check_completed(const seen_job& job, const observed_start& start)
+void run_judge::check_completed(const observed_job& job, const observed_start& start)
 {
-  if (job.completed_at && start.at > *job.completed_at + copy_late())
+  if (job.completed_at && start.at > *job.completed_at + copy_grace())
     violate("TWICE", start.task, "started after its job was shown as completed");
 }
 
-// A copy may come a little late; nothing else begins once an end is acknowledged.
+// A speculative copy may start within copy_grace(); nothing else may start once an end is
+// acknowledged.
 void run_judge::check_done(const jobs::step_spec& spec, const observed_start& start)
 {
   const auto& done = m_tasks[start.task].done_acknowledged;
@@ -203,8 +209,9 @@
     violate("TWICE", start.task,
             "run " + std::to_string(start.run) + " on " + start.worker +
                 " started after its end was acknowledged" +
-                (start.late_at_new_life ? ", by a late order to a life that nobody had held" : ""));
-  else if (start.at > *done + copy_late())
+                (start.late_at_new_incarnation ? ", by a late order to a life that nobody had held"
+                                               : ""));
+  else if (start.at > *done + copy_grace())
     violate("TWICE", start.task, "a copy started long after its end was acknowledged");
 }
 
@@ -216,7 +223,7 @@
                        {"task", start.task.place.index},
                        {"run", start.run},
                        {"worker", start.worker},
-                       {"late_at_new_life", start.late_at_new_life}});
+                       {"late_at_new_life", start.late_at_new_incarnation}});
   const auto found = m_jobs.find(start.task.job);
   if (found == m_jobs.end())
   {
@@ -236,46 +243,46 @@
 void run_judge::check_leaving(const observed_start& start)
 {
   const auto leaving = m_leaving.find(start.worker);
-  if (leaving != m_leaving.end() && start.at > leaving->second + k_leaving_time)
+  if (leaving != m_leaving.end() && start.at > leaving->second + k_leaving_limit)
     violate("DRAIN", start.task, "started on " + start.worker + ", which is about to leave");
 }
 
 void run_judge::check_entry(const observed_start& start)
 {
-  const auto broken = m_broken_entries.find(start.worker);
-  if (broken != m_broken_entries.end() && start.at > broken->second + k_leaving_time)
+  const auto broken = m_corrupt_entries.find(start.worker);
+  if (broken != m_corrupt_entries.end() && start.at > broken->second + k_leaving_limit)
     violate("ENTRY", start.task, "started on " + start.worker + ", whose entry is not valid");
 }
 
 void run_judge::check_crashes(const observed_start& start)
 {
-  seen_task& task = m_tasks[start.task];
-  if (!task.crashes_workers || task.crashes < k_crashes_bounded)
+  observed_task& task = m_tasks[start.task];
+  if (!task.crashes_workers || task.crashes < k_crash_limit)
     return;
-  if (++task.starts_beyond == k_starts_beyond)
+  if (++task.starts_over_limit == k_starts_over_limit)
     violate("BUDGET", start.task, "started three times more after three workers had crashed");
 }
 
 void run_judge::worker_crashed(const std::string& worker)
 {
   common::log_process("judge_worker_crashed", {{"worker", worker}});
-  for (auto& [task, seen] : m_tasks)
+  for (auto& [task, observed] : m_tasks)
   {
     const bool there =
-        std::any_of(seen.active.begin(), seen.active.end(),
+        std::any_of(observed.active.begin(), observed.active.end(),
                     [&worker](const auto& each) { return each.second.worker == worker; });
-    seen.crashes += there ? 1 : 0;
+    observed.crashes += there ? 1 : 0;
   }
 }
 
-void run_judge::entry_broken(const std::string& worker, common::time_point at)
+void run_judge::entry_corrupted(const std::string& worker, common::time_point at)
 {
-  m_broken_entries.emplace(worker, at);
+  m_corrupt_entries.emplace(worker, at);
 }
 
-void run_judge::entry_whole(const std::string& worker)
+void run_judge::entry_restored(const std::string& worker)
 {
-  m_broken_entries.erase(worker);
+  m_corrupt_entries.erase(worker);
 }
 
 void run_judge::worker_leaving(const std::string& worker, common::time_point at)
@@ -292,14 +299,14 @@
                        {"run", run},
                        {"worker", worker},
                        {"how", scheduling::to_text(how)}});
-  seen_task& seen = m_tasks[task];
-  const auto found = seen.active.find(run);
-  if (found != seen.active.end() && found->second.worker == worker)
-    seen.active.erase(found);
+  observed_task& observed = m_tasks[task];
+  const auto found = observed.active.find(run);
+  if (found != observed.active.end() && found->second.worker == worker)
+    observed.active.erase(found);
   if (how == run_end::done)
-    seen.done.insert(run);
+    observed.done.insert(run);
   if (how == run_end::failed)
-    seen.failures.insert(run);
+    observed.failures.insert(run);
 }
 
 void run_judge::saved(const task_ref& task, const std::string& checkpoint)
@@ -312,33 +319,33 @@
 {
   common::log_request("judge_acknowledged", task.job,
                       {{"step", task.place.step}, {"task", task.place.index}, {"run", run}});
-  seen_task& seen = m_tasks[task];
+  observed_task& observed = m_tasks[task];
   if (how == run_end::done)
-    seen.done_acknowledged = std::min(at, seen.done_acknowledged.value_or(at));
+    observed.done_acknowledged = std::min(at, observed.done_acknowledged.value_or(at));
   if (how == run_end::failed)
-    seen.failures_acknowledged.insert(run);
+    observed.failures_acknowledged.insert(run);
 }
 
 void run_judge::worker_gone(const std::string& worker)
 {
-  for (auto& [task, seen] : m_tasks)
-    std::erase_if(seen.active,
+  for (auto& [task, observed] : m_tasks)
+    std::erase_if(observed.active,
                   [&worker](const auto& each) { return each.second.worker == worker; });
 }
 
-void run_judge::overloaded(const std::string& worker, const std::string& what)
+void run_judge::overloaded(const std::string& worker, const std::string& message)
 {
-  m_violations.push_back("LIMIT: " + worker + ": " + what);
+  m_violations.push_back("LIMIT: " + worker + ": " + message);
   common::log_process("judge_violation", {{"what", m_violations.back()}});
 }
 
-bool run_judge::has_room(const jobs::step_spec& step,
-                         const std::vector<usable_worker>& usable) const
+bool run_judge::has_free_capacity(const jobs::step_spec& step,
+                                  const std::vector<usable_worker>& usable) const
 {
   std::map<std::string, std::int64_t> used;
-  for (const auto& [task, seen] : m_tasks)
+  for (const auto& [task, observed] : m_tasks)
   {
-    for (const auto& [number, run] : seen.active)
+    for (const auto& [number, run] : observed.active)
       used[run.worker] += m_jobs.at(task.job).spec.steps[task.place.step].demand.cpu_millis;
   }
   return std::any_of(
@@ -347,42 +354,43 @@
       { return each.capacity.cpu_millis - used[each.id] >= 2 * step.demand.cpu_millis; });
 }
 
-void run_judge::check_lasting(const std::vector<usable_worker>& usable, common::time_point now,
-                              common::time_point disturbed_until)
+void run_judge::check_long_running(const std::vector<usable_worker>& usable, common::time_point now,
+                                   common::time_point disturbed_until)
 {
-  const bool calm = now - disturbed_until >= k_calm;
-  for (const std::string& id : m_lasting)
+  const bool cell_undisturbed = now - disturbed_until >= k_undisturbed;
+  for (const std::string& id : m_long_running)
   {
-    const seen_job& job = m_jobs.at(id);
+    const observed_job& job = m_jobs.at(id);
     if (!job.accepted || !job.started)
       continue;
-    const bool room = has_room(job.spec.steps.front(), usable);
+    const bool capacity_free = has_free_capacity(job.spec.steps.front(), usable);
     for (std::uint32_t index = 0; index < job.spec.steps.front().count; ++index)
     {
       const task_ref ref{id, {0, 0, index}};
-      seen_task& task = m_tasks[ref];
+      observed_task& task = m_tasks[ref];
       const bool idle = task.active.empty();
       task.idle_since = idle ? task.idle_since.value_or(now) : std::optional<common::time_point>();
-      const bool due = idle && now - *task.idle_since >= k_after_last_run && calm && room;
+      const bool due =
+          idle && now - *task.idle_since >= k_after_last_run && cell_undisturbed && capacity_free;
       task.due_since = due ? task.due_since.value_or(now) : std::optional<common::time_point>();
-      if (!due || now - *task.due_since < k_run_again)
+      if (!due || now - *task.due_since < k_restart_limit)
         continue;
       violate("LOST", ref, "is to last and does not run, with room for it");
-      task.due_since = now; // told once in a while
+      task.due_since = now; // report at most once per k_restart_limit
     }
   }
 }
 
 void run_judge::check_cancelled_gone(common::time_point by)
 {
-  for (auto& [task, seen] : m_tasks)
+  for (auto& [task, observed] : m_tasks)
   {
     const auto job = m_jobs.find(task.job);
     if (job == m_jobs.end() || !job->second.cancelled_at || *job->second.cancelled_at > by)
       continue;
-    for (auto& [number, run] : seen.active)
+    for (auto& [number, run] : observed.active)
     {
-      if (run.begun <= by && !std::exchange(run.told, true))
+      if (run.begun <= by && !std::exchange(run.reported, true))
         violate("UNASKED", task,
                 "run " + std::to_string(number) + " goes on at " + run.worker +
                     " although its job is cancelled");
@@ -409,12 +417,12 @@
 std::size_t run_judge::active_runs() const
 {
   std::size_t runs = 0;
-  for (const auto& [task, seen] : m_tasks)
-    runs += seen.active.size();
+  for (const auto& [task, observed] : m_tasks)
+    runs += observed.active.size();
   return runs;
 }
 
-bool run_judge::works() const
+bool run_judge::has_finite_runs() const
 {
   return std::any_of(m_tasks.begin(), m_tasks.end(),
                      [this](const auto& each) {
@@ -426,9 +434,9 @@
 std::vector<task_ref> run_judge::active_tasks() const
 {
   std::vector<task_ref> tasks;
-  for (const auto& [task, seen] : m_tasks)
+  for (const auto& [task, observed] : m_tasks)
   {
-    if (!seen.active.empty())
+    if (!observed.active.empty())
       tasks.push_back(task);
   }
   return tasks;
@@ -455,9 +463,9 @@
 std::set<std::string> run_judge::busy_workers() const
 {
   std::set<std::string> workers;
-  for (const auto& [task, seen] : m_tasks)
+  for (const auto& [task, observed] : m_tasks)
   {
-    for (const auto& [number, run] : seen.active)
+    for (const auto& [number, run] : observed.active)
       workers.insert(run.worker);
   }
   return workers;
--- a/Source/Core/Model/RunJudge.h
+++ b/Source/Core/Model/RunJudge.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Sees every run at every worker and every answer to callers, and notes what must never happen.
+// Observes every run at every worker and every answer to callers, and records violations of the
+// platform's invariants.
 
 #include <functional>
 #include <map>
@@ -22,7 +23,7 @@
 using scheduling::run_number;
 using scheduling::task_ref;
 
-// A run as a worker begins it.
+// A run that a worker starts.
 struct observed_start
 {
   task_ref task;
@@ -31,11 +32,11 @@
   std::string payload;
   std::string checkpoint;
   common::time_point at;
-  // The order was carried out late, by a life that had seen no fencing token before it.
-  bool late_at_new_life = false;
+  // The start request was executed late, by an incarnation that had seen no fencing token before.
+  bool late_at_new_incarnation = false;
 };
 
-// A worker that tasks could be started on.
+// A worker on which tasks can be started.
 struct usable_worker
 {
   std::string id;
@@ -45,98 +46,103 @@
 class run_judge
 {
 public:
-  // Whether the store has a job, however it came there.
-  using keeper = std::function<bool(const std::string& job)>;
+  // Whether the store contains a job, whoever wrote it.
+  using job_lookup = std::function<bool(const std::string& job)>;
 
-  // Without a keeper, whether refused jobs are kept is not looked at.
-  explicit run_judge(keeper kept = nullptr) : m_kept(std::move(kept)) {}
+  // Without a lookup, the judge does not check whether refused jobs are stored.
+  explicit run_judge(job_lookup kept = nullptr) : m_is_stored(std::move(kept)) {}
 
-  // What callers send and are told.
+  // The requests of callers and their answers.
   void submitted(const std::string& job, const jobs::job_spec& spec, std::uint32_t max_attempts);
-  // A call to hand it in is under way, the first one or a later one.
+  // A submission of the job, the first one or a retry, is in flight.
   void tried(const std::string& job);
-  // What became of the latest call; 0: there was no answer.
+  // Result of the latest submission; status 0 means that there was no answer.
   void answered(const std::string& job, unsigned status);
   void cancel_asked(const std::string& job);
-  // Nobody cancels it, and its tasks may run on any worker.
-  void expect_to_last(const std::string& job) { m_lasting.insert(job); }
-  // The caller was told that it is cancelled.
+  // The job's tasks must run until the end: nobody cancels the job, and its tasks may run on any
+  // worker.
+  void expect_to_keep_running(const std::string& job) { m_long_running.insert(job); }
+  // The caller received the confirmation of the job's cancellation.
   void cancelled(const std::string& job, common::time_point at);
   void shown(const std::string& job, jobs::job_state state,
              std::optional<common::time_point> at = std::nullopt);
 
-  // What workers do. `gone`: the worker has died with all its runs.
+  // Events at workers. After worker_gone() the worker has ended with all its runs.
   void started(const observed_start& start);
   void ended(const task_ref& task, run_number run, const std::string& worker, run_end how);
-  // A run's work is saved; its checkpoint is listed from now on, whatever becomes of the worker.
+  // A run's checkpoint was saved; it stays valid from now on, even if the worker ends.
   void saved(const task_ref& task, const std::string& checkpoint);
   void acknowledged(const task_ref& task, run_number run, run_end how, common::time_point at);
-  // All instances reach the store and the workers throughout.
-  void expect_connectivity() { m_in_touch = true; }
+  // Declares that all instances can reach the store and the workers for the whole simulation.
+  void expect_connectivity() { m_instances_connected = true; }
   void worker_gone(const std::string& worker);
-  // The worker has been crashed by what it ran, or by chance.
+  // The worker was crashed by one of its runs, or at random.
   void worker_crashed(const std::string& worker);
-  // The task crashes each worker that starts it; its job can't be done.
+  // Declares that the task crashes each worker that starts it, so that its job can't be completed.
   void expect_crashes(const task_ref& task) { m_tasks[task].crashes_workers = true; }
-  // The store has taken the worker's word that it is about to leave.
+  // The store has stored the worker's announcement that it is about to leave.
   void worker_leaving(const std::string& worker, common::time_point at);
-  // Another writer has put something in place of the worker's entry, and it is its own again.
-  void entry_broken(const std::string& worker, common::time_point at);
-  void entry_whole(const std::string& worker);
-  void overloaded(const std::string& worker, const std::string& what);
-
-  // Called often: tasks that are to last have to run again soon, if some worker has room for them
-  // twice over. `disturbed_until`: when the latest trouble ended, or will.
-  void check_lasting(const std::vector<usable_worker>& usable, common::time_point now,
-                     common::time_point disturbed_until);
-
-  // Runs still going on that had begun, and whose job's cancellation had been acknowledged, by
-  // then; each is told once.
+  // Another writer has replaced the worker's entry by an invalid one; the worker has written its
+  // own again.
+  void entry_corrupted(const std::string& worker, common::time_point at);
+  void entry_restored(const std::string& worker);
+  void overloaded(const std::string& worker, const std::string& message);
+
+  // Called periodically: tasks that must keep running have to run again soon if some worker has
+  // twice the free capacity that they need. `disturbed_until`: when the latest fault ended or will
+  // end.
+  void check_long_running(const std::vector<usable_worker>& usable, common::time_point now,
+                          common::time_point disturbed_until);
+
+  // Checks that no run is active that had begun by that time and whose job's cancellation had been
+  // acknowledged by then. Each such run is reported once.
   void check_cancelled_gone(common::time_point by);
 
-  // At the end of a play: accepted jobs that are neither done, failed for a reason, nor cancelled.
+  // At the end of a simulation: reports accepted jobs without a known state and those that are not
+  // final, except if they are long-running or their cancellation was requested.
   void check_all_ended(const std::map<std::string, jobs::job_state>& states);
 
   const std::vector<std::string>& violations() const { return m_violations; }
   std::size_t starts() const { return m_starts; }
-  // Runs whose leases ended.
+  // Number of runs that ended because their leases expired.
   std::size_t lapsed() const { return m_lapsed; }
   std::size_t accepted_jobs() const;
-  // Whether a job is accepted and none of its tasks has begun; not if its cancellation was asked
-  // for.
+  // Whether a job is accepted, none of its tasks has started and its cancellation was not
+  // requested.
   bool waits(const std::string& job) const;
-  // Runs that have begun and not ended, on workers that live.
+  // Number of runs that have started and not ended, on workers that are up.
   std::size_t active_runs() const;
-  // Whether any of them is of a job that will end.
-  bool works() const;
-  // Their tasks.
+  // Whether there is an active run of a job that is not long-running.
+  bool has_finite_runs() const;
+  // The tasks that have active runs.
   std::vector<task_ref> active_tasks() const;
-  // Jobs of which any task has ever begun.
+  // The jobs of which some task has ever started.
   std::vector<std::string> started_jobs() const;
-  // The workers that these are on.
+  // The workers that have active runs.
   std::set<std::string> busy_workers() const;
 
 private:
-  struct seen_job
+  struct observed_job
   {
     jobs::job_spec spec;
     std::uint32_t max_attempts = 1;
     bool accepted = false;
-    bool refused = false; // the latest call; nothing may come of it or of earlier ones
+    bool refused =
+        false; // the latest submission was; neither it nor an earlier one may take effect
     bool started = false;
     bool cancel_asked = false;
     std::optional<common::time_point> cancelled_at;
-    std::optional<common::time_point> completed_at; // it was first shown so
+    std::optional<common::time_point> completed_at; // when a caller was first shown this state
   };
 
   struct active_run
   {
     std::string worker;
     common::time_point begun;
-    bool told = false; // that it goes on although its job is cancelled
+    bool reported = false; // as running although its job is cancelled
   };
 
-  struct seen_task
+  struct observed_task
   {
     std::map<run_number, active_run> active;
     std::set<run_number> done;
@@ -144,40 +150,41 @@
     std::set<run_number> failures_acknowledged;
     std::set<run_number> failures;
     bool crashes_workers = false;
-    std::size_t crashes = 0;       // of workers under it
-    std::size_t starts_beyond = 0; // after the third of them
+    std::size_t crashes = 0;           // of workers while they ran the task
+    std::size_t starts_over_limit = 0; // since k_crash_limit crashes
     std::set<std::string> checkpoints;
-    // Of a task that is to last.
+    // Only for a task that must keep running.
     std::optional<common::time_point> idle_since;
-    std::optional<common::time_point> due_since; // it ought to run, and does not
+    std::optional<common::time_point> due_since; // since when the task should run but does not
   };
 
-  void violate(const std::string& rule, const task_ref& task, const std::string& what);
-  bool step_done(const std::string& job, const seen_job& of, std::uint32_t cycle,
+  void violate(const std::string& rule, const task_ref& task, const std::string& message);
+  bool step_done(const std::string& job, const observed_job& of, std::uint32_t cycle,
                  std::uint32_t step) const;
-  bool has_room(const jobs::step_spec& step, const std::vector<usable_worker>& usable) const;
-  void check_start(const seen_job& job, const observed_start& start);
+  bool has_free_capacity(const jobs::step_spec& step,
+                         const std::vector<usable_worker>& usable) const;
+  void check_start(const observed_job& job, const observed_start& start);
   void check_done(const jobs::step_spec& spec, const observed_start& start);
-  void check_completed(const seen_job& job, const observed_start& start);
-  // How long after a task's end is known a copy of it may still come.
-  common::duration copy_late() const;
+  void check_completed(const observed_job& job, const observed_start& start);
+  // How long after a task's end is known a speculative copy of it may still start.
+  common::duration copy_grace() const;
   void check_leaving(const observed_start& start);
   void check_entry(const observed_start& start);
-  void check_refusal(const std::string& job, const seen_job& seen);
-  void check_failed(const std::string& job, const seen_job& seen);
-  // Whether its attempts are used up.
-  bool out_of_attempts(const std::string& job, const seen_job& seen) const;
+  void check_refusal(const std::string& job, const observed_job& observed);
+  void check_failed(const std::string& job, const observed_job& observed);
+  // Whether some task or gang of the job has used up its attempts.
+  bool out_of_attempts(const std::string& job, const observed_job& observed) const;
   void check_crashes(const observed_start& start);
 
-  keeper m_kept;
-  std::map<std::string, seen_job> m_jobs;
-  std::set<std::string> m_lasting;
-  std::map<task_ref, seen_task> m_tasks;
-  std::map<std::string, common::time_point> m_leaving;        // workers, since when
-  std::map<std::string, common::time_point> m_broken_entries; // the same
+  job_lookup m_is_stored;
+  std::map<std::string, observed_job> m_jobs;
+  std::set<std::string> m_long_running;
+  std::map<task_ref, observed_task> m_tasks;
+  std::map<std::string, common::time_point> m_leaving;         // since when, by worker
+  std::map<std::string, common::time_point> m_corrupt_entries; // since when, by worker
   std::vector<std::string> m_violations;
   std::size_t m_starts = 0;
   std::size_t m_lapsed = 0;
-  bool m_in_touch = false;
+  bool m_instances_connected = false;
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/StoreModel.cpp
+++ b/Source/Core/Model/StoreModel.cpp
@@ -17,8 +17,8 @@
 {
 using nlohmann::json;
 namespace wire = adapter::wire;
-// With more than this waiting in a part, transactions are turned away.
-constexpr std::chrono::seconds k_longest_wait{1};
+// A part that has more than this queued rejects further transactions.
+constexpr std::chrono::seconds k_max_transaction_wait{1};
 using query_map = std::map<std::string, std::string>;
 
 std::string unescaped(const std::string& text)
@@ -95,8 +95,8 @@
     if (path == wire::k_transact_path)
       transact_in_turn(call.body, std::move(done));
     else if (path == wire::k_read_path)
-      after_pace(m_pace, [this, query = query_of(call.target), done = std::move(done)]
-                 { done(read(query)); });
+      run_after(m_transaction_time, [this, query = query_of(call.target), done = std::move(done)]
+                { done(read(query)); });
     else if (path == wire::k_feed_path)
       feed(query_of(call.target), std::move(done));
     else
@@ -131,22 +131,22 @@
   const std::string part =
       puts.empty() ? std::string() : puts[0].value(wire::k_part, std::string());
   common::time_point& busy_until = m_busy_until[part];
-  if (busy_until - m_time.now() > k_longest_wait)
+  if (busy_until - m_time.now() > k_max_transaction_wait)
   {
     done({429, {}, {}, false});
     return;
   }
-  busy_until = std::max(busy_until, m_time.now()) + m_pace;
-  after_pace(busy_until - m_time.now(),
-             [this, body, done = std::move(done)] { done(transact(body)); });
+  busy_until = std::max(busy_until, m_time.now()) + m_transaction_time;
+  run_after(busy_until - m_time.now(),
+            [this, body, done = std::move(done)] { done(transact(body)); });
 }
 
-void store_model::after_pace(common::duration wait, const std::function<void()>& what)
+void store_model::run_after(common::duration wait, const std::function<void()>& action)
 {
   if (wait.count() == 0)
-    what();
+    action();
   else
-    m_time.schedule(wait, what);
+    m_time.schedule(wait, action);
 }
 
 http::reply store_model::transact(const std::string& body)
@@ -258,7 +258,7 @@
   return {200, answer.dump(), {}, false};
 }
 
-bool store_model::has_news(const std::string& table, adapter::row_version since) const
+bool store_model::has_updates(const std::string& table, adapter::row_version since) const
 {
   for (auto each = m_history.rbegin(); each != m_history.rend() && each->version > since; ++each)
   {
@@ -295,7 +295,7 @@
     done({410, {}, {}, false});
     return;
   }
-  if (has_news(table, since))
+  if (has_updates(table, since))
   {
     done({200, feed_answer(table, since), {}, false});
     return;
@@ -319,7 +319,7 @@
   for (auto each = m_feeds.begin(); each != m_feeds.end();)
   {
     const auto next = std::next(each);
-    if (has_news(each->table, each->since))
+    if (has_updates(each->table, each->since))
       due.splice(due.end(), m_feeds, each);
     each = next;
   }
--- a/Source/Core/Model/StoreModel.h
+++ b/Source/Core/Model/StoreModel.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The platform's store as it is published: transactions under conditions, reads, feeds.
+// Model of the platform's store as documented: conditional transactions, reads, feeds.
 
 #include <cstdint>
 #include <deque>
@@ -26,24 +26,25 @@
 public:
   explicit store_model(common::timekeeper& time);
 
-  // A call; the answer may come later.
+  // Handles a call; the answer may come later.
   void handle(const http::request& call, http::reply_handler done);
-  // What the operator and the workers write.
+  // Writes by the operator and the workers, which take effect at once.
   void put(const adapter::row_key& at, const std::string& value);
   void remove(const adapter::row_key& at);
-  // The row's value as it is; none if there is no such row.
+  // The row's present value; none if there is no such row.
   std::optional<std::string> value(const adapter::row_key& at) const;
-  // Calls that concern one of these parts get no answer and do nothing, as when the store is down
-  // in part; feeds go on.
+  // Calls that concern one of these parts get no answer and have no effect, as in a partial outage
+  // of the store; feeds continue.
   void silence_parts(std::set<std::string> parts) { m_silent = std::move(parts); }
-  // Each transaction takes so long (none: no time), those of one part in turn; while over a second
-  // of them waits, more are turned away. Reads take as long.
-  void set_transaction_time(common::duration each) { m_pace = each; }
-  // Whether it is slow or silent at present.
-  bool disturbed() const { return m_pace.count() != 0 || !m_silent.empty(); }
-  // Feeds that are behind have to read everything again.
+  // Each transaction takes this long (zero: no time), and those of one part run one after the
+  // other; while more than a second of them is queued, further ones are rejected. Reads take as
+  // long.
+  void set_transaction_time(common::duration each) { m_transaction_time = each; }
+  // Whether the store is slow or silent at present.
+  bool disturbed() const { return m_transaction_time.count() != 0 || !m_silent.empty(); }
+  // Drops the history, so that feeds that are behind have to read everything again.
   void forget_history();
-  // All rows of a table are gone, as if nobody had written them.
+  // Deletes all rows of a table, as if they had never been written.
   void forget_rows(const std::string& table);
 
 private:
@@ -70,13 +71,13 @@
   };
 
   http::reply transact(const std::string& body);
-  // At once if there is nothing to wait for.
-  void after_pace(common::duration wait, const std::function<void()>& what);
+  // Runs the action after `wait`, or at once if that is zero.
+  void run_after(common::duration wait, const std::function<void()>& action);
   void transact_in_turn(const std::string& body, http::reply_handler done);
   http::reply read(const std::map<std::string, std::string>& query) const;
   void feed(const std::map<std::string, std::string>& query, http::reply_handler done);
   std::string feed_answer(const std::string& table, adapter::row_version since) const;
-  bool has_news(const std::string& table, adapter::row_version since) const;
+  bool has_updates(const std::string& table, adapter::row_version since) const;
   void write(const adapter::row_key& at, const std::string* value, adapter::row_version version);
   void answer_feeds();
   bool concerns_silent_part(const http::request& call) const;
@@ -87,9 +88,9 @@
   std::deque<change> m_history;
   std::list<waiting_feed> m_feeds;
   std::set<std::string> m_silent;
-  common::duration m_pace{};
-  std::map<std::string, common::time_point> m_busy_until; // by part
+  common::duration m_transaction_time{};
+  std::map<std::string, common::time_point> m_busy_until; // by part of the store
   adapter::row_version m_version = 0;
-  adapter::row_version m_oldest = 0; // history before this is gone
+  adapter::row_version m_oldest = 0; // older changes are no longer in the history
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/VirtualNetwork.h
+++ b/Source/Core/Model/VirtualNetwork.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Carries calls between the instances and what serves them, and spoils them as it is told.
+// Carries calls between the instances and the servers that they use, and applies injected faults to
+// them.
 
 #include <functional>
 #include <map>
@@ -18,22 +19,22 @@
 
 namespace yardhill::model
 {
-// Troubles in force; shares are between 0 and 1.
+// Faults in force; shares are between 0 and 1.
 struct network_faults
 {
-  std::set<std::pair<std::string, std::string>> cuts; // pairs of names, either way
-  // Bytes a second of an instance's link, both ways together; others have no bound.
+  std::set<std::pair<std::string, std::string>> cuts; // pairs of names that can't reach each other
+  // Bandwidth in bytes per second of an instance's link, both directions together; links that are
+  // not listed are unlimited.
   std::map<std::string, double> links;
-  std::set<std::string> turned_away; // instances that the store answers so, doing nothing
+  std::set<std::string> turned_away; // instances whose calls the store rejects
   unsigned turned_away_status = 503;
-  double lost_store_reply_share = 0.0;  // carried out, and the answer lost: calls to the store
-  double lost_worker_reply_share = 0.0; // the same for calls to workers
-  double delayed_worker_call_share =
-      0.0; // no answer, and carried out 2 to 12 s later: calls to workers
+  double lost_store_reply_share = 0.0;    // store calls that are executed and whose reply is lost
+  double lost_worker_reply_share = 0.0;   // the same for worker calls
+  double delayed_worker_call_share = 0.0; // worker calls without a reply, executed 2 to 12 s late
 };
 
-// Marks a call that is carried out late, for what judges tell; no client sends it.
-inline constexpr const char* k_late_mark = "X-Carried-Out-Late";
+// Header that marks a call as executed late, for the judges' reports; no client sends it.
+inline constexpr const char* k_delayed_call_header = "X-Carried-Out-Late";
 
 class virtual_network
 {
@@ -43,11 +44,12 @@
 
   virtual_network(virtual_time& time, std::uint64_t seed);
 
-  // Who answers at that address, by a name that cuts refer to. An empty server: nobody.
+  // Registers the server at that address, under a name that cuts refer to. An empty server removes
+  // it.
   void serve(const common::endpoint& where, const std::string& name, server answer);
   void call(const std::string& from, const common::endpoint& to, const http::request& call,
             duration timeout, http::reply_handler done);
-  // A message between two instances; lost while they are cut.
+  // Delivers a message between two instances; it is lost while the link between them is cut.
   void message(const std::string& from, const std::string& to, std::function<void()> deliver);
   bool cut(const std::string& one, const std::string& other) const;
 
@@ -60,37 +62,39 @@
     server answer;
   };
 
-  // A call under way.
+  // A call in flight.
   struct exchange
   {
     http::reply_handler done; // empty once it has been called
     std::optional<http::long_answer> expects;
-    http::reply reply;                      // on its way, once there is one
-    std::optional<time_point> latest_bytes; // of the reply
+    http::reply reply;                       // the reply in flight, once there is one
+    std::optional<time_point> last_bytes_at; // when bytes of the reply last arrived
 
     void end(http::reply with);
   };
 
   duration delay();
-  bool happens(double share);
-  // How long so many bytes take over the instance's link, behind what waits there already.
+  bool draw_chance(double share);
+  // Time until that many bytes have passed the instance's link, including the wait behind earlier
+  // transfers.
   duration transfer(const std::string& instance, std::size_t bytes);
   void send_back(const std::string& from, const std::string& answerer,
-                 const std::shared_ptr<exchange>& what, http::reply reply);
-  // Ends the call after `left` without an answer, or without more of the one that is coming.
-  void end_unanswered(const std::shared_ptr<exchange>& what, duration left, bool unreachable);
-  // Carries an answer over the instance's link, packet by packet, so that others come between,
-  // until the call is given up or `broken` says that no more will come.
-  void carry(const std::string& instance, const std::shared_ptr<exchange>& what, std::size_t bytes,
-             duration way, const std::function<bool()>& broken);
+                 const std::shared_ptr<exchange>& pending, http::reply reply);
+  // Ends the call unless its reply arrives within `left`; while a long answer is arriving, unless
+  // more of it arrives within its longest pause.
+  void end_unanswered(const std::shared_ptr<exchange>& pending, duration left, bool unreachable);
+  // Sends an answer over the instance's link packet by packet, so that packets of other answers can
+  // be sent in between, until the call has ended or `broken` returns true.
+  void send_packets(const std::string& instance, const std::shared_ptr<exchange>& pending,
+                    std::size_t bytes, duration way, const std::function<bool()>& broken);
 
   virtual_time& m_time;
   std::mt19937_64 m_random;
   std::map<std::pair<std::string, std::uint16_t>, served> m_servers;
-  std::map<std::string, time_point> m_links_busy; // until when
+  std::map<std::string, time_point> m_links_busy_until;
 };
 
-// The network as one instance sees it.
+// The network as seen by one instance.
 class network_sender : public http::peer_sender
 {
 public:
--- a/Source/Core/Model/VirtualTime.cpp
+++ b/Source/Core/Model/VirtualTime.cpp
@@ -16,11 +16,11 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(m_now.time_since_epoch()));
 }
 
-common::timekeeper::entry virtual_time::schedule(duration delay, std::function<void()> what)
+common::timekeeper::entry virtual_time::schedule(duration delay, std::function<void()> action)
 {
   const entry number = ++m_last;
   const time_point when = m_now + std::max(delay, duration{0});
-  m_events[{when, number}] = std::move(what);
+  m_events[{when, number}] = std::move(action);
   m_when[number] = when;
   return number;
 }
@@ -34,7 +34,7 @@
   m_when.erase(found);
 }
 
-void virtual_time::put_off(entry which, duration by)
+void virtual_time::postpone(entry which, duration by)
 {
   const auto found = m_when.find(which);
   if (found == m_when.end())
@@ -57,13 +57,13 @@
   m_now = end;
 }
 
-common::timekeeper::entry process_time::schedule(duration delay, std::function<void()> what)
+common::timekeeper::entry process_time::schedule(duration delay, std::function<void()> action)
 {
   const entry number = ++m_state->last;
   const event_kind kind = delay > duration{0} ? event_kind::timer : event_kind::from_outside;
-  m_state->scheduled[number] =
-      m_time.schedule(delay, [&time = m_time, process = m_state, number, kind,
-                              what = std::move(what)] { fire(time, process, number, kind, what); });
+  m_state->scheduled[number] = m_time.schedule(
+      delay, [&time = m_time, process = m_state, number, kind, action = std::move(action)]
+      { fire(time, process, number, kind, action); });
   return number;
 }
 
@@ -92,7 +92,7 @@
     return;
   m_state->suspended += end - from;
   for (const auto& [number, there] : m_state->scheduled)
-    m_time.put_off(there, end - from);
+    m_time.postpone(there, end - from);
   freeze_until(end);
 }
 
@@ -104,60 +104,60 @@
 }
 
 void process_time::fire(virtual_time& time, const std::shared_ptr<state>& process, entry which,
-                        event_kind kind, const std::function<void()>& what)
+                        event_kind kind, const std::function<void()>& action)
 {
   if (!process->alive)
     return;
   if (time.now() >= process->frozen_until)
   {
     work(process, kind,
-         [process, which, what]
+         [process, which, action]
          {
-           // It may have been cancelled while it waited.
+           // The action may have been cancelled while it waited for the processor.
            if (process->scheduled.erase(which) > 0)
-             what();
+             action();
          });
     return;
   }
   process->scheduled[which] =
-      time.schedule(process->frozen_until - time.now(), [&time, process, which, kind, what]
-                    { fire(time, process, which, kind, what); });
+      time.schedule(process->frozen_until - time.now(), [&time, process, which, kind, action]
+                    { fire(time, process, which, kind, action); });
 }
 
 std::function<void(std::function<void()>)> process_time::gate() const
 {
-  return [&time = m_time, process = m_state](const std::function<void()>& what)
-  { arrive(time, process, what); };
+  return [&time = m_time, process = m_state](const std::function<void()>& action)
+  { arrive(time, process, action); };
 }
 
 void process_time::work(const std::shared_ptr<state>& process, event_kind kind,
-                        const std::function<void()>& what)
+                        const std::function<void()>& action)
 {
   if (!process->processor)
   {
-    what();
+    action();
     return;
   }
   process->processor->work(kind,
-                           [process = std::weak_ptr(process), what]
+                           [process = std::weak_ptr(process), action]
                            {
                              const auto there = process.lock();
                              if (there && there->alive)
-                               what();
+                               action();
                            });
 }
 
 void process_time::arrive(virtual_time& time, const std::shared_ptr<state>& process,
-                          const std::function<void()>& what)
+                          const std::function<void()>& action)
 {
   if (!process->alive)
     return;
   if (time.now() >= process->frozen_until)
   {
-    work(process, event_kind::from_outside, what);
+    work(process, event_kind::from_outside, action);
     return;
   }
   time.schedule(process->frozen_until - time.now(),
-                [&time, process, what] { arrive(time, process, what); });
+                [&time, process, action] { arrive(time, process, action); });
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/VirtualTime.h
+++ b/Source/Core/Model/VirtualTime.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// A clock that moves from event to event.
+// A simulated clock that advances from event to event.
 
 #include <algorithm>
 #include <map>
@@ -25,12 +25,12 @@
 public:
   time_point now() const override { return m_now; }
   common::wall_clock_time wall() const override;
-  entry schedule(duration delay, std::function<void()> what) override;
+  entry schedule(duration delay, std::function<void()> action) override;
   void cancel(entry which) override;
-  // What is scheduled under that number happens so much later.
-  void put_off(entry which, duration by);
+  // Postpones the scheduled action with that number by `by`.
+  void postpone(entry which, duration by);
 
-  // Plays all events up to then.
+  // Runs all events up to `end`.
   void run_until(time_point end);
 
 private:
@@ -40,12 +40,12 @@
   entry m_last = 0;
 };
 
-// The time of one process: nothing happens any more once it is dead, and while it is frozen
-// everything waits for it to wake.
+// The clock and timers of one process. A dead process runs no actions; while it is frozen, all
+// actions wait until it resumes.
 class process_time : public common::timekeeper
 {
 public:
-  // Without a processor each event is worked off as it comes, in no time.
+  // Without a processor each event is processed on arrival, in no time.
   explicit process_time(virtual_time& time, std::shared_ptr<processor_model> processor = nullptr)
       : m_time(time), m_state(std::make_shared<state>())
   {
@@ -55,21 +55,22 @@
 
   time_point now() const override;
   common::wall_clock_time wall() const override { return m_time.wall() + m_wall_ahead; }
-  entry schedule(duration delay, std::function<void()> what) override;
+  entry schedule(duration delay, std::function<void()> action) override;
   void cancel(entry which) override;
 
-  // Its time of day is ahead of the others' from now on, or behind.
+  // Sets how far the process's wall clock is ahead of that of the others; behind if negative.
   void step_wall(std::chrono::milliseconds ahead) { m_wall_ahead = ahead; }
 
   void freeze_until(time_point end);
-  // The machine is suspended: as a freeze, but timers do not count that time. Nor does the clock,
-  // if the process reads one that stands still meanwhile.
+  // Suspends the machine: like a freeze, but timers do not count that time. The clock does not
+  // count it either if the process reads one that stops during a suspension.
   void suspend_until(time_point end);
   void read_suspended_clock() { m_state->reads_suspended_clock = true; }
-  // The process sends a call or a message, which costs processor time.
+  // Accounts for a call or message that the process sends, which costs processor time.
   void sends();
   bool frozen() const { return m_time.now() < m_state->frozen_until; }
-  // Lets calls from outside reach the process only as long as it lives; outlives it.
+  // Returns a function that runs external calls in this process as long as the process is alive.
+  // The function may outlive this object.
   std::function<void(std::function<void()>)> gate() const;
 
 private:
@@ -77,21 +78,21 @@
   {
     bool alive = true;
     time_point frozen_until{};
-    duration suspended{}; // in all, until now or until the suspension that goes on ends
+    duration suspended{}; // total, including a suspension in progress up to its end
     bool reads_suspended_clock = false;
     entry last = 0;
-    // What is scheduled, by its number here and there: it gets another one there for each freeze
-    // that it falls into, and can be cancelled all the same.
+    // Maps the process's number of a scheduled action to the virtual clock's number, which changes
+    // with each freeze that delays the action; so the action can still be cancelled.
     std::map<entry, entry> scheduled;
     std::shared_ptr<processor_model> processor;
   };
 
   static void fire(virtual_time& time, const std::shared_ptr<state>& process, entry which,
-                   event_kind kind, const std::function<void()>& what);
+                   event_kind kind, const std::function<void()>& action);
   static void work(const std::shared_ptr<state>& process, event_kind kind,
-                   const std::function<void()>& what);
+                   const std::function<void()>& action);
   static void arrive(virtual_time& time, const std::shared_ptr<state>& process,
-                     const std::function<void()>& what);
+                     const std::function<void()>& action);
 
   virtual_time& m_time;
   std::shared_ptr<state> m_state;
--- a/Source/Core/Model/WorkerFleet.cpp
+++ b/Source/Core/Model/WorkerFleet.cpp
@@ -41,16 +41,16 @@
   return added;
 }
 
-void worker_fleet::name_life(fleet_worker& which, const incarnation_plan& plan)
+void worker_fleet::identify_incarnation(fleet_worker& which, const incarnation_plan& plan)
 {
   worker_settings& settings = which.settings;
   ++which.life;
   const auto now = std::chrono::duration_cast<milliseconds>(m_time.now().time_since_epoch());
   const auto wall = std::chrono::duration_cast<milliseconds>(m_time.wall().time_since_epoch());
-  std::int64_t born = (wall + plan.wall_ahead).count();
+  std::int64_t started_ms = (wall + plan.wall_ahead).count();
   if (plan.keeps_id)
   {
-    born += born == settings.born_ms ? 1 : 0;
+    started_ms += started_ms == settings.started_wall_ms ? 1 : 0;
     settings.life = settings.id + "~" + std::to_string(which.life);
     settings.clock_ahead =
         plan.clock -
@@ -62,15 +62,15 @@
     settings.id = "worker-" + which.machine + "-" + std::to_string(which.life);
     settings.life = settings.id;
   }
-  settings.born_ms = born;
-  m_advice.worker_begins(settings.id, settings.life);
+  settings.started_wall_ms = started_ms;
+  m_advice.set_incarnation(settings.id, settings.life);
 }
 
 void worker_fleet::begin_life(fleet_worker& which)
 {
-  name_life(which, which.life > 0 && m_plan ? m_plan() : incarnation_plan{});
+  identify_incarnation(which, which.life > 0 && m_plan ? m_plan() : incarnation_plan{});
   which.draining = false;
-  which.broken_entry.clear();
+  which.corrupt_entry.clear();
   which.model = std::make_unique<worker_model>(m_time, which.settings, m_advice, m_judge, m_course);
   which.model->set_specs(m_specs);
   which.model->set_crash_handler(
@@ -105,13 +105,14 @@
 
 void worker_fleet::write_entry(fleet_worker& which)
 {
-  if (which.broken_entry.empty())
-    m_judge.entry_whole(which.settings.life);
+  if (which.corrupt_entry.empty())
+    m_judge.entry_restored(which.settings.life);
   else
-    m_judge.entry_broken(which.settings.life, m_time.now());
-  m_store.put(entry_of(which.settings.id),
-              which.broken_entry.empty() ? which.model->entry(which.draining) : which.broken_entry);
-  which.model->room_told();
+    m_judge.entry_corrupted(which.settings.life, m_time.now());
+  m_store.put(entry_of(which.settings.id), which.corrupt_entry.empty()
+                                               ? which.model->entry(which.draining)
+                                               : which.corrupt_entry);
+  which.model->capacity_published();
   which.listed = true;
 }
 
--- a/Source/Core/Model/WorkerFleet.h
+++ b/Source/Core/Model/WorkerFleet.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// Workers over their lives: each life has an id and a fresh memory, and keeps its entry in the
-// store.
+// Workers over their incarnations: each incarnation has an id and an empty memory, and keeps its
+// entry in the store.
 
 #include <deque>
 #include <functional>
@@ -17,65 +17,70 @@
 
 namespace yardhill::model
 {
-// How the next life of a worker begins.
+// How a worker's next incarnation begins.
 struct incarnation_plan
 {
   bool keeps_id = false;
-  std::chrono::milliseconds clock{0};      // of one that keeps its id: what it shows at first
-  std::chrono::milliseconds wall_ahead{0}; // its time of day is so far ahead, or behind
+  std::chrono::milliseconds clock{0};      // initial reading, for an incarnation that keeps its id
+  std::chrono::milliseconds wall_ahead{0}; // offset of its wall clock; behind if negative
 };
 
-// A machine that runs one life of a worker after the other.
+// A machine that runs one incarnation of a worker after the other.
 struct fleet_worker
 {
-  worker_settings settings; // with the id of its present or latest life
+  worker_settings settings; // with the id of its present or latest incarnation
   std::string machine;
-  std::unique_ptr<worker_model> model; // none between two lives
+  std::unique_ptr<worker_model> model; // null between two incarnations
   unsigned life = 0;
   bool listed = false;
   bool draining = false;
-  bool shrunk = false;      // it has less room for a while
-  std::string broken_entry; // stands in place of its own, if not empty
+  bool shrunk = false;       // its capacity is reduced for a while
+  std::string corrupt_entry; // if not empty, stored in place of its own entry
 };
 
 class worker_fleet
 {
 public:
-  // `specs`: the jobs' steps, for the room that runs take.
+  // `specs`: the jobs' specifications, from which the capacity that runs use is computed.
   worker_fleet(common::timekeeper& time, store_model& store, advice_model& advice, run_judge& judge,
                worker_model::course_function course,
                const std::map<std::string, jobs::job_spec>& specs);
 
-  // Begins the machine's first life, without an entry. Workers stay where they are in memory.
+  // Begins the machine's first incarnation, without an entry. References to workers stay valid.
   fleet_worker& add(const std::string& machine, const worker_settings& settings);
-  // A new life without an entry begins, as planned. The latest one's entry goes, if it is still
-  // there; that of the same id stays until the new life writes its own.
+  // Begins a new incarnation without an entry, as planned. With a new id, the entry of the previous
+  // incarnation is removed if it still exists; with the same id, it stays until the new incarnation
+  // writes its own.
   void begin_life(fleet_worker& which);
-  // Asked at each new life but a machine's first one. Without it, each has a new id.
+  // Sets the function that plans each incarnation except a machine's first one. Without it, each
+  // incarnation has a new id.
   void set_incarnation_planner(std::function<incarnation_plan()> plan) { m_plan = std::move(plan); }
-  // All that runs there dies; its entry stays until it is removed or a new life begins.
+  // Ends the incarnation and all its runs; its entry stays until it is removed or a new incarnation
+  // begins.
   static void end_life(fleet_worker& which);
-  // From now on it has so much room; its entry tells it when it is written again.
+  // Sets the worker's capacity; its entry shows the new value when it is written next.
   static void set_capacity(fleet_worker& which, const common::resources& capacity);
-  // What becomes of a machine whose worker has been crashed by what it ran.
+  // Sets the function that is called for a machine whose worker was crashed by one of its runs.
   void set_crash_handler(std::function<void(fleet_worker&)> crashed)
   {
     m_crashed = std::move(crashed);
   }
-  // As it is now; `draining` says that it leaves.
+  // Writes the worker's entry in its present state; `draining` in it announces that the worker will
+  // leave.
   void write_entry(fleet_worker& which);
   void remove_entry(fleet_worker& which);
-  // The entry of an earlier life, which its own writes and the store's clearing reach late.
+  // Writes or removes the entry of an earlier incarnation, for writes by that incarnation and
+  // removals by the store that take effect late.
   void write_entry_of(const std::string& id, const std::string& text);
   void remove_entry_of(const std::string& id);
-  // A call that reaches the machine; nobody answers between two lives.
+  // Handles a call that reaches the machine; between two incarnations there is no answer.
   static void handle(fleet_worker& which, const http::request& call, http::reply_handler done);
 
   std::deque<fleet_worker>& workers() { return m_workers; }
 
 private:
-  // Another id, or the same one and a clock that begins anew.
-  void name_life(fleet_worker& which, const incarnation_plan& plan);
+  // Assigns a new id, or keeps the id and restarts the worker's clock.
+  void identify_incarnation(fleet_worker& which, const incarnation_plan& plan);
 
   common::timekeeper& m_time;
   store_model& m_store;
--- a/Source/Core/Model/WorkerModel.cpp
+++ b/Source/Core/Model/WorkerModel.cpp
@@ -21,11 +21,11 @@
 using nlohmann::json;
 namespace wire = adapter::wire;
 
-constexpr std::int64_t k_longest_lease_ms = 10000; // the platform's bound
+constexpr std::int64_t k_longest_lease_ms = 10000; // the platform's limit
 constexpr std::size_t k_most_ends_listed = 500;
-// A room that has shrunk counts 3 s and a beat of 1.5 s after the worker has said so; an owner that
-// is cut off may not hear of it and goes on for its authority (4.5 s).
-constexpr std::chrono::milliseconds k_shrunk_counts{3000 + 1500 + 4500};
+// An earlier capacity is permitted for 3 s and one entry period of 1.5 s after the entry shows the
+// change; an isolated owner may not learn of the change and continues for its authority (4.5 s).
+constexpr std::chrono::milliseconds k_earlier_capacity_valid{3000 + 1500 + 4500};
 
 task_ref task_in(const json& body)
 {
@@ -50,7 +50,7 @@
     m_time.cancel(run.end_event);
     m_time.cancel(run.crash_event);
   }
-  m_time.cancel(m_lapse_event);
+  m_time.cancel(m_lease_expiry_event);
   for (const waiting_hold& each : m_holds)
     m_time.cancel(each.timeout);
   m_judge.worker_gone(m_settings.life);
@@ -73,7 +73,7 @@
       {wire::k_state, draining ? wire::k_draining : "ready"},
       {wire::k_labels, {"a", m_settings.rack}},
       {wire::k_clock_ms, clock_ms()},
-      {wire::k_born, m_settings.born_ms}};
+      {wire::k_born, m_settings.started_wall_ms}};
   out[wire::k_capacity] = {{wire::k_cpu, m_settings.capacity.cpu_millis},
                            {wire::k_memory, m_settings.capacity.memory_mib},
                            {wire::k_accelerators, m_settings.capacity.accelerators}};
@@ -102,12 +102,13 @@
     done(refusal("fence"));
     return;
   }
-  const bool late = std::any_of(call.headers.begin(), call.headers.end(),
-                                [](const auto& each) { return each.first == k_late_mark; });
-  const bool late_at_new_life = late && m_fence == 0;
+  const bool late =
+      std::any_of(call.headers.begin(), call.headers.end(),
+                  [](const auto& each) { return each.first == k_delayed_call_header; });
+  const bool late_at_new_incarnation = late && m_fence == 0;
   m_fence = fence;
   if (call.target == wire::k_start_path)
-    done(start(body, late_at_new_life));
+    done(start(body, late_at_new_incarnation));
   else if (call.target == wire::k_stop_path)
     done(stop(body));
   else if (call.target == wire::k_hold_path)
@@ -124,19 +125,19 @@
 void worker_model::extend_lease(std::int64_t until)
 {
   m_lease_end = std::max(m_lease_end, std::min(until, clock_ms() + k_longest_lease_ms));
-  m_time.cancel(m_lapse_event);
+  m_time.cancel(m_lease_expiry_event);
   const double left = static_cast<double>(m_lease_end - clock_ms()) / m_settings.clock_rate;
-  m_lapse_event =
-      m_time.schedule(std::chrono::milliseconds(std::llround(left) + 1), [this] { lapse(); });
+  m_lease_expiry_event = m_time.schedule(std::chrono::milliseconds(std::llround(left) + 1),
+                                         [this] { expire_lease(); });
 }
 
-void worker_model::lapse()
+void worker_model::expire_lease()
 {
   while (!m_runs.empty())
     finish(m_runs.begin()->first, run_end::lapsed);
 }
 
-http::reply worker_model::start(const json& body, bool late_at_new_life)
+http::reply worker_model::start(const json& body, bool late_at_new_incarnation)
 {
   const task_ref task = task_in(body);
   const run_number number = body.at(wire::k_run);
@@ -147,13 +148,13 @@
     extend_lease(until);
     return {200, json{{wire::k_clock_ms, clock_ms()}}.dump(), {}, false};
   }
-  const auto past = m_past.find(task);
-  if ((past != m_past.end() && number <= past->second) || running != m_runs.end())
+  const auto past = m_highest_finished.find(task);
+  if ((past != m_highest_finished.end() && number <= past->second) || running != m_runs.end())
   {
-    extend_lease(until); // the platform's workers do so although they start nothing
+    extend_lease(until); // as the platform's workers do, although they start nothing
     return refusal("old");
   }
-  // The lease is the worker's: holds have extended it for what starts now as well.
+  // The lease belongs to the worker as a whole, so an extension by a hold also covers this start.
   if (std::max(until, m_lease_end) < clock_ms())
     return refusal("late");
   const std::string ticket = body.value(wire::k_ticket, std::string());
@@ -162,7 +163,8 @@
     return refusal("ticket");
   extend_lease(until);
   m_judge.started({task, number, m_settings.life, body.value(wire::k_payload, std::string()),
-                   body.value(wire::k_checkpoint, std::string()), m_time.now(), late_at_new_life});
+                   body.value(wire::k_checkpoint, std::string()), m_time.now(),
+                   late_at_new_incarnation});
   const run_course course = m_course(task, number, m_settings.life);
   active_run& run = m_runs[task];
   run.number = number;
@@ -171,7 +173,7 @@
                       { finish(task, course.fails ? run_end::failed : run_end::done); });
   if (course.crashes_after)
     run.crash_event = m_time.schedule(*course.crashes_after, [this] { crash(); });
-  check_room(task);
+  check_capacity(task);
   return {200, json{{wire::k_clock_ms, clock_ms()}}.dump(), {}, false};
 }
 
@@ -180,7 +182,7 @@
   m_judge.worker_crashed(m_settings.life);
   const std::function<void()> crashed = m_crashed;
   if (crashed)
-    crashed(); // this life has ended
+    crashed(); // destroys this object
 }
 
 std::vector<std::pair<task_ref, run_number>> worker_model::gang_runs() const
@@ -209,20 +211,20 @@
 
 void worker_model::set_capacity(const common::resources& capacity)
 {
-  m_earlier_rooms.push_back({m_settings.capacity, std::nullopt});
+  m_earlier_capacities.push_back({m_settings.capacity, std::nullopt});
   m_settings.capacity = capacity;
 }
 
-void worker_model::room_told()
+void worker_model::capacity_published()
 {
-  for (earlier_room& each : m_earlier_rooms)
+  for (earlier_capacity& each : m_earlier_capacities)
   {
     if (!each.until)
-      each.until = m_time.now() + k_shrunk_counts;
+      each.until = m_time.now() + k_earlier_capacity_valid;
   }
 }
 
-void worker_model::check_room(const task_ref& task)
+void worker_model::check_capacity(const task_ref& task)
 {
   common::resources used;
   for (const auto& [each, run] : m_runs)
@@ -231,11 +233,11 @@
     if (spec != m_specs->end())
       used += scheduling::room_of(spec->second.steps[each.place.step]);
   }
-  std::erase_if(m_earlier_rooms, [this](const earlier_room& each)
+  std::erase_if(m_earlier_capacities, [this](const earlier_capacity& each)
                 { return each.until && *each.until < m_time.now(); });
   const bool fitted =
-      std::any_of(m_earlier_rooms.begin(), m_earlier_rooms.end(),
-                  [&used](const earlier_room& each) { return used.fits_in(each.capacity); });
+      std::any_of(m_earlier_capacities.begin(), m_earlier_capacities.end(),
+                  [&used](const earlier_capacity& each) { return used.fits_in(each.capacity); });
   if (!used.fits_in(m_settings.capacity) && !fitted)
     m_judge.overloaded(m_settings.life, "by a start of " + adapter::to_wire(task));
 }
@@ -244,7 +246,7 @@
 {
   const task_ref task = task_in(body);
   const run_number number = body.at(wire::k_run);
-  m_past[task] = std::max(m_past[task], number);
+  m_highest_finished[task] = std::max(m_highest_finished[task], number);
   const auto running = m_runs.find(task);
   if (running != m_runs.end() && running->second.number <= number && !running->second.stopping)
   {
@@ -266,7 +268,7 @@
   const active_run& run = ended.mapped();
   m_time.cancel(run.end_event);
   m_time.cancel(run.crash_event);
-  m_past[task] = std::max(m_past[task], run.number);
+  m_highest_finished[task] = std::max(m_highest_finished[task], run.number);
   ++m_last_end;
   m_ends[m_last_end] = {m_last_end, task, run.number, how, run.checkpoint};
   m_judge.ended(task, run.number, m_settings.life, how);
@@ -290,7 +292,7 @@
                        std::string(scheduling::to_text(end.how)), end.checkpoint});
   }
   const json out{{wire::k_clock_ms, clock_ms()},
-                 {wire::k_born, m_settings.born_ms},
+                 {wire::k_born, m_settings.started_wall_ms},
                  {wire::k_running, std::move(running)},
                  {wire::k_finished, std::move(ended)}};
   return {200, out.dump(), {}, false};
@@ -298,8 +300,9 @@
 
 void worker_model::hold(const json& body, http::reply_handler done)
 {
-  const scheduling::end_number seen = body.value(wire::k_acknowledged_end, std::uint64_t{0});
-  while (!m_ends.empty() && m_ends.begin()->first <= seen)
+  const scheduling::end_number acknowledged_end =
+      body.value(wire::k_acknowledged_end, std::uint64_t{0});
+  while (!m_ends.empty() && m_ends.begin()->first <= acknowledged_end)
   {
     const scheduling::listed_end& end = m_ends.begin()->second;
     m_judge.acknowledged(end.task, end.run, end.how, m_time.now());
--- a/Source/Core/Model/WorkerModel.h
+++ b/Source/Core/Model/WorkerModel.h
@@ -3,8 +3,9 @@
 
 #pragma once
 
-// One life of a worker as the platform's pages describe it: leases on its own clock, fences, runs,
-// ends until they are acknowledged. It starts whatever it is told and leaves room to the scheduler.
+// Model of one incarnation of a worker as the platform documents it: leases on the worker's own
+// clock, fencing tokens, runs, and ends that are listed until they are acknowledged. The worker
+// executes every valid start request and leaves the accounting of capacity to the scheduler.
 
 #include <functional>
 #include <list>
@@ -21,8 +22,8 @@
 
 namespace yardhill::model
 {
-// How a run goes: how long it takes at full speed, whether it fails at its end, and how long after
-// its beginning it crashes its worker, if it does.
+// The course of a run: how long it takes at full speed, whether it fails at its end, and how long
+// after its start it crashes its worker, if it does.
 struct run_course
 {
   common::duration takes{};
@@ -33,15 +34,16 @@
 struct worker_settings
 {
   std::string id;
-  std::string life;         // another one for each life, also under the same id; what judges go by
-  std::int64_t born_ms = 0; // Unix time of the life's start, on its own clock
+  std::string
+      life; // unique per incarnation, also under the same id; the judges identify workers by it
+  std::int64_t started_wall_ms = 0; // Unix time of the incarnation's start, by its own wall clock
   common::endpoint address;
   std::string zone;
   std::string service = "service";
   std::string rack;
   common::resources capacity;
   std::chrono::milliseconds clock_ahead{0};
-  double clock_rate = 1.0; // its clock may be slow
+  double clock_rate = 1.0; // below 1, its clock is slow
   std::chrono::milliseconds stop_time{200};
 };
 
@@ -58,20 +60,22 @@
   worker_model& operator=(const worker_model&) = delete;
 
   void handle(const http::request& call, http::reply_handler done);
-  // Its entry in the store.
+  // The worker's entry for the store.
   std::string entry(bool draining) const;
   const worker_settings& settings() const { return m_settings; }
-  // The jobs' steps, for the room that runs take.
+  // Sets the jobs' specifications, from which the capacity that runs use is computed.
   void set_specs(const std::map<std::string, jobs::job_spec>& specs) { m_specs = &specs; }
-  // Called when a run has crashed the worker; it ends this life.
+  // Sets the function that is called when a run has crashed the worker; the function ends this
+  // incarnation.
   void set_crash_handler(std::function<void()> crashed) { m_crashed = std::move(crashed); }
-  // Its room from now on; its entry tells it once it is written again.
+  // Sets the capacity; the worker's entry shows the new value when it is written next.
   void set_capacity(const common::resources& capacity);
-  // Its runs of gangs, and what becomes of the runs of a gang that has lost a member elsewhere.
+  // The worker's runs that belong to gangs, and the end of the runs of a gang that has lost a
+  // member on another worker.
   std::vector<std::pair<task_ref, run_number>> gang_runs() const;
   void break_gang(const task_ref& member, run_number number);
-  // The entry that tells of its room as it is now has been written.
-  void room_told();
+  // Called when an entry with the present capacity has been written.
+  void capacity_published();
 
 private:
   struct active_run
@@ -89,15 +93,15 @@
     common::timekeeper::entry timeout = 0;
   };
 
-  http::reply start(const nlohmann::json& body, bool late_at_new_life);
+  http::reply start(const nlohmann::json& body, bool late_at_new_incarnation);
   http::reply stop(const nlohmann::json& body);
   void hold(const nlohmann::json& body, http::reply_handler done);
   http::reply refusal(const char* reason) const;
   http::reply lists() const;
   void extend_lease(std::int64_t until);
-  void lapse();
+  void expire_lease();
   void finish(const task_ref& task, run_end how);
-  void check_room(const task_ref& task);
+  void check_capacity(const task_ref& task);
   void crash();
   std::int64_t clock_ms() const;
 
@@ -108,18 +112,20 @@
   course_function m_course;
   const std::map<std::string, jobs::job_spec>* m_specs = nullptr;
   std::function<void()> m_crashed;
-  // A larger room that it had counts until then; none while its entry does not tell of its loss.
-  struct earlier_room
+  // An earlier capacity, which is still permitted until `until`, or without limit while the
+  // worker's entry does not show the change.
+  struct earlier_capacity
   {
     common::resources capacity;
     std::optional<common::time_point> until;
   };
-  std::vector<earlier_room> m_earlier_rooms;
+  std::vector<earlier_capacity> m_earlier_capacities;
   std::uint64_t m_fence = 0;
-  std::int64_t m_lease_end = 0; // on its own clock
-  common::timekeeper::entry m_lapse_event = 0;
+  std::int64_t m_lease_end = 0; // on the worker's own clock
+  common::timekeeper::entry m_lease_expiry_event = 0;
   std::map<task_ref, active_run> m_runs;
-  std::map<task_ref, run_number> m_past; // the highest run stopped or ended
+  std::map<task_ref, run_number>
+      m_highest_finished; // highest number of a stopped or ended run, by task
   std::map<scheduling::end_number, scheduling::listed_end> m_ends;
   scheduling::end_number m_last_end = 0;
   std::list<waiting_hold> m_holds;
