--- a/Source/Core/Model/CallerModel.cpp
+++ b/Source/Core/Model/CallerModel.cpp
@@ -186,7 +186,7 @@
   {
     const task_ref task{id, {cycle, step, index}};
     m_crashes[task] = after;
-    m_judge.expect_crashes(task);
+    m_judge.expect_worker_crashes(task);
   }
 }
 
@@ -275,7 +275,7 @@
 void caller_model::cancel(const std::string& id, unsigned tries)
 {
   const auto answered = std::make_shared<bool>(false);
-  m_judge.cancel_asked(id);
+  m_judge.cancel_requested(id);
   m_deliver({http::method::remove, k_host, m_prefixes[id] + id, "", k_timeout_ms},
             [this, id, answered](const http::outgoing_answer& answer)
             {
@@ -291,7 +291,7 @@
                   });
 }
 
-void caller_model::ask_all()
+void caller_model::query_all()
 {
   for (const auto& [id, prefix] : m_prefixes)
     m_deliver({http::method::get, k_host, prefix + id, "", k_timeout_ms},
--- a/Source/Core/Model/CallerModel.h
+++ b/Source/Core/Model/CallerModel.h
@@ -54,7 +54,7 @@
   // Submits a job whose long-running tasks should run until the simulation ends.
   void submit_long_running();
   // Queries the state of every job; the answers are passed to the judge.
-  void ask_all();
+  void query_all();
   const std::map<std::string, jobs::job_spec>& specs() const { return m_specs; }
   const std::map<std::string, jobs::job_state>& states() const { return m_states; }
 
--- a/Source/Core/Model/CellExplorer.cpp
+++ b/Source/Core/Model/CellExplorer.cpp
@@ -100,11 +100,11 @@
   const count_judge counts(cell, cell.begin() + k_run_length);
   const cancel_judge cancelled(cell, cell.begin() + k_run_length);
   troubles.draw();
-  if (how == restarts::under_one_id)
+  if (how == restarts::same_id)
     troubles.draw_restarts(seed);
   cell.time().run_until(cell.begin() + k_run_length);
   finish_work(cell);
-  cell.callers().ask_all();
+  cell.callers().query_all();
   cell.time().run_until(cell.time().now() + k_final_queries);
   cell.judge().check_all_ended(cell.callers().states());
   std::vector<std::string> violations = cell.judge().violations();
--- a/Source/Core/Model/CellExplorer.h
+++ b/Source/Core/Model/CellExplorer.h
@@ -16,15 +16,15 @@
 enum class omission
 {
   none,
-  claims_forgotten, // a new owner finds no stored claims of workers
-  begun_forgotten   // a new owner finds no stored record of steps that have begun
+  claims_omitted,  // a new owner finds no stored claims of workers
+  progress_omitted // a new owner finds no stored record of steps that have begun
 };
 
 // Whether workers also restart under their previous ids, in addition to the seed's other faults.
 enum class restarts
 {
   none,
-  under_one_id
+  same_id
 };
 
 struct exploration
--- a/Source/Core/Model/CellFaults.cpp
+++ b/Source/Core/Model/CellFaults.cpp
@@ -74,7 +74,7 @@
                                                 &cell_faults::drain_worker,
                                                 &cell_faults::isolate_worker,
                                                 &cell_faults::isolate_zone,
-                                                &cell_faults::forget_history,
+                                                &cell_faults::discard_history,
                                                 &cell_faults::silence_parts,
                                                 &cell_faults::step_clock,
                                                 &cell_faults::throttle_random_instance,
@@ -303,10 +303,10 @@
   cut_links_for(pairs, m_cell.draw_time(milliseconds(2000), milliseconds(7000)));
 }
 
-void cell_faults::forget_history()
+void cell_faults::discard_history()
 {
   record_fault("the store forgets its history");
-  m_cell.store().forget_history();
+  m_cell.store().discard_history();
 }
 
 // Partial outage of the store: for the owner's rows, for the rows of some jobs, or for both.
@@ -379,7 +379,7 @@
 {
   if (m_without == omission::none)
     return;
-  m_cell.store().forget_rows(m_without == omission::claims_forgotten ? node::k_claims_table
-                                                                     : node::k_progress_table);
+  m_cell.store().forget_rows(m_without == omission::claims_omitted ? node::k_claims_table
+                                                                   : node::k_progress_table);
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/CellFaults.h
+++ b/Source/Core/Model/CellFaults.h
@@ -56,7 +56,7 @@
   void drain_worker();
   void isolate_worker();
   void isolate_zone();
-  void forget_history();
+  void discard_history();
   void silence_parts();
   void step_clock();
   void throttle_random_instance();
--- a/Source/Core/Model/CountJudge.cpp
+++ b/Source/Core/Model/CountJudge.cpp
@@ -26,10 +26,10 @@
 count_judge::count_judge(explored_cell& cell, time_point end)
     : m_cell(cell), m_end(end), m_contacts(cell)
 {
-  ask_all();
+  query_all();
 }
 
-void count_judge::ask_all()
+void count_judge::query_all()
 {
   if (m_cell.time().now() > m_end)
     return;
@@ -40,7 +40,7 @@
     ask(each, k_urgent_prefix);
     ask(each, k_plain_prefix);
   }
-  m_cell.time().schedule(k_period, [this] { ask_all(); });
+  m_cell.time().schedule(k_period, [this] { query_all(); });
 }
 
 void count_judge::ask(explored_instance& which, const std::string& prefix)
--- a/Source/Core/Model/CountJudge.h
+++ b/Source/Core/Model/CountJudge.h
@@ -29,7 +29,7 @@
   std::size_t unknown() const { return m_unknown; }
 
 private:
-  void ask_all();
+  void query_all();
   void ask(explored_instance& which, const std::string& prefix);
   void on_answer(const explored_instance& which, const std::string& prefix, std::uint64_t waiting,
                  const http::outgoing_answer& answer);
--- a/Source/Core/Model/RunJudge.cpp
+++ b/Source/Core/Model/RunJudge.cpp
@@ -78,9 +78,9 @@
     violate("REFUSED", {job, {}}, "it was refused although it is kept");
 }
 
-void run_judge::cancel_asked(const std::string& job)
+void run_judge::cancel_requested(const std::string& job)
 {
-  m_jobs[job].cancel_asked = true;
+  m_jobs[job].cancel_requested = true;
 }
 
 void run_judge::cancelled(const std::string& job, common::time_point at)
@@ -92,7 +92,7 @@
                       std::optional<common::time_point> at)
 {
   observed_job& observed = m_jobs[job];
-  if (state == jobs::job_state::cancelled && !observed.cancel_asked)
+  if (state == jobs::job_state::cancelled && !observed.cancel_requested)
     violate("LOST", {job, {}}, "shown as cancelled, which nobody asked for");
   if (state == jobs::job_state::failed)
     check_failed(job, observed);
@@ -407,7 +407,7 @@
     const auto found = states.find(id);
     if (found == states.end())
       violate("LOST", {id, {}}, "accepted, and its state is not known");
-    else if (job.cancel_asked || job.spec.long_running())
+    else if (job.cancel_requested || job.spec.long_running())
       continue;
     else if (!jobs::is_final(found->second))
       violate("LOST", {id, {}}, "accepted, and still " + std::string(to_text(found->second)));
@@ -457,7 +457,7 @@
 {
   const auto found = m_jobs.find(job);
   return found != m_jobs.end() && found->second.accepted && !found->second.started &&
-         !found->second.cancel_asked;
+         !found->second.cancel_requested;
 }
 
 std::set<std::string> run_judge::busy_workers() const
--- a/Source/Core/Model/RunJudge.h
+++ b/Source/Core/Model/RunJudge.h
@@ -58,7 +58,7 @@
   void tried(const std::string& job);
   // Result of the latest submission; status 0 means that there was no answer.
   void answered(const std::string& job, unsigned status);
-  void cancel_asked(const std::string& job);
+  void cancel_requested(const std::string& job);
   // The job's tasks must run until the end: nobody cancels the job, and its tasks may run on any
   // worker.
   void expect_to_keep_running(const std::string& job) { m_long_running.insert(job); }
@@ -79,7 +79,7 @@
   // The worker was crashed by one of its runs, or at random.
   void worker_crashed(const std::string& worker);
   // Declares that the task crashes each worker that starts it, so that its job can't be completed.
-  void expect_crashes(const task_ref& task) { m_tasks[task].crashes_workers = true; }
+  void expect_worker_crashes(const task_ref& task) { m_tasks[task].crashes_workers = true; }
   // The store has stored the worker's announcement that it is about to leave.
   void worker_leaving(const std::string& worker, common::time_point at);
   // Another writer has replaced the worker's entry by an invalid one; the worker has written its
@@ -130,7 +130,7 @@
     bool refused =
         false; // the latest submission was; neither it nor an earlier one may take effect
     bool started = false;
-    bool cancel_asked = false;
+    bool cancel_requested = false;
     std::optional<common::time_point> cancelled_at;
     std::optional<common::time_point> completed_at; // when a caller was first shown this state
   };
--- a/Source/Core/Model/StoreModel.cpp
+++ b/Source/Core/Model/StoreModel.cpp
@@ -215,7 +215,7 @@
   return common::from_base64(found->second.value);
 }
 
-void store_model::forget_history()
+void store_model::discard_history()
 {
   m_history.clear();
   m_oldest = m_version;
--- a/Source/Core/Model/StoreModel.h
+++ b/Source/Core/Model/StoreModel.h
@@ -43,7 +43,7 @@
   // Whether the store is slow or silent at present.
   bool disturbed() const { return m_transaction_time.count() != 0 || !m_silent.empty(); }
   // Drops the history, so that feeds that are behind have to read everything again.
-  void forget_history();
+  void discard_history();
   // Deletes all rows of a table, as if they had never been written.
   void forget_rows(const std::string& table);
 
--- a/Source/StandIns/CellStandIn.cpp
+++ b/Source/StandIns/CellStandIn.cpp
@@ -297,14 +297,14 @@
       m_specs[id] = *spec;
       m_judge.submitted(id, *spec, k_max_attempts);
       if (spec->payload == k_crashing_payload)
-        m_judge.expect_crashes({id, {}});
+        m_judge.expect_worker_crashes({id, {}});
     }
     else if (what == "answers")
       m_judge.answered(id, static_cast<unsigned>(std::stoul(words.at(3))));
     else if (what == "states")
       m_judge.shown(id, state_named(words.at(3)).value());
     else if (what == "cancel")
-      m_judge.cancel_asked(id);
+      m_judge.cancel_requested(id);
     else if (what == "cancelled")
       m_judge.cancelled(id, m_time.now());
     else
@@ -322,7 +322,7 @@
     else if (what == "parts")
       m_store.silence_parts(names_in(words.size() > 2 ? words[2] : ""));
     else if (what == "forget")
-      m_store.forget_history();
+      m_store.discard_history();
     else
       return set_answers_of_store(what);
     return {};
--- a/Source/UnitTests/Model/CrashingTaskTest.cpp
+++ b/Source/UnitTests/Model/CrashingTaskTest.cpp
@@ -75,7 +75,7 @@
   {
     cell.callers().submit_jobs_until(cell.time().now() + k_jobs_come);
     pass(k_play);
-    cell.callers().ask_all();
+    cell.callers().query_all();
     pass(k_answers);
     cell.judge().check_all_ended(cell.callers().states());
     BOOST_TEST(cell.judge().violations().empty(), told());
--- a/Source/UnitTests/Model/ExplorerTest.cpp
+++ b/Source/UnitTests/Model/ExplorerTest.cpp
@@ -88,7 +88,7 @@
        {17U, 23U, 31U, 72U, 79U, 96U, 111U, 114U, 122U, 950015U, 950016U, 950031U, 950049U, 950058U,
         950107U, 950113U, 950124U, 950150U, 950155U})
   {
-    const exploration played = explore_cell(seed, omission::none, restarts::under_one_id);
+    const exploration played = explore_cell(seed, omission::none, restarts::same_id);
     const auto given_up = [](const std::string& each)
     { return each.starts_with("INNOCENT") || each.starts_with("LOST"); };
     BOOST_TEST(std::none_of(played.violations.begin(), played.violations.end(), given_up),
@@ -126,7 +126,7 @@
   const seed_range range = seeds();
   for (std::uint64_t seed = range.first; seed < range.first + range.count; ++seed)
   {
-    const exploration played = explore_cell(seed, omission::none, restarts::under_one_id);
+    const exploration played = explore_cell(seed, omission::none, restarts::same_id);
     BOOST_TEST(played.violations.empty(), told(seed, played));
   }
 }
@@ -153,7 +153,7 @@
   // It takes a takeover while the entry of a worker has lapsed: about one seed in 270 has one.
   std::size_t noticed = 0;
   for (std::uint64_t seed = 1500; seed <= 2100 && noticed == 0; ++seed)
-    noticed += explore_cell(seed, omission::claims_forgotten).violations.empty() ? 0 : 1;
+    noticed += explore_cell(seed, omission::claims_omitted).violations.empty() ? 0 : 1;
   BOOST_TEST(noticed > 0U);
 }
 
@@ -161,7 +161,7 @@
 {
   std::size_t noticed = 0;
   for (std::uint64_t seed = 1; seed <= 120 && noticed == 0; ++seed)
-    noticed += explore_cell(seed, omission::begun_forgotten).violations.empty() ? 0 : 1;
+    noticed += explore_cell(seed, omission::progress_omitted).violations.empty() ? 0 : 1;
   BOOST_TEST(noticed > 0U);
 }
 
--- a/Source/UnitTests/Model/LateCopyTest.cpp
+++ b/Source/UnitTests/Model/LateCopyTest.cpp
@@ -57,7 +57,7 @@
     }
     cell.network().troubles.delayed_worker_call_share = 0.0;
     pass(seconds{40});
-    cell.callers().ask_all();
+    cell.callers().query_all();
     pass(seconds{3});
     cell.judge().check_all_ended(cell.callers().states());
     std::string told;
@@ -82,13 +82,13 @@
     {
       cell.callers().hand_in(copied_job());
       pass(milliseconds{300});
-      cell.callers().ask_all();
+      cell.callers().query_all();
     }
     cell.network().troubles.delayed_worker_call_share = 0.0;
     for (int i = 0; i < 80; ++i)
     {
       pass(milliseconds{500});
-      cell.callers().ask_all();
+      cell.callers().query_all();
     }
     cell.judge().check_all_ended(cell.callers().states());
     std::string told;
--- a/Source/UnitTests/Model/PartitionsTest.cpp
+++ b/Source/UnitTests/Model/PartitionsTest.cpp
@@ -82,7 +82,7 @@
     most = std::max(most, cell.judge().active_runs());
   }
   BOOST_TEST(most == 16U);
-  cell.callers().ask_all();
+  cell.callers().query_all();
   run_for(seconds{1});
   BOOST_TEST((cell.callers().states().at(id) == jobs::job_state::active));
   BOOST_TEST(cell.judge().violations().empty());
--- a/Source/UnitTests/Model/RestartedWorkerTest.cpp
+++ b/Source/UnitTests/Model/RestartedWorkerTest.cpp
@@ -71,7 +71,7 @@
   void check_at_end()
   {
     pass(k_play);
-    cell.callers().ask_all();
+    cell.callers().query_all();
     pass(k_answers);
     cell.judge().check_all_ended(cell.callers().states());
     std::string told;
--- a/Source/UnitTests/Model/RunJudgeTest.cpp
+++ b/Source/UnitTests/Model/RunJudgeTest.cpp
@@ -23,7 +23,7 @@
     spec.steps.back().count = 1;
     judge.submitted(k_job, spec, 1);
     judge.answered(k_job, 200);
-    judge.cancel_asked(k_job);
+    judge.cancel_requested(k_job);
   }
 
   static common::time_point at(seconds when) { return common::time_point{} + when; }
@@ -87,7 +87,7 @@
 
 BOOST_FIXTURE_TEST_CASE(a_crashing_task_may_be_started_twice_after_the_third_crash, judged_job)
 {
-  judge.expect_crashes(task);
+  judge.expect_worker_crashes(task);
   crash(*this, 5);
   BOOST_TEST(judge.violations().empty());
   start(seconds{6});
@@ -99,14 +99,14 @@
   crash(*this, 3);
   judge.shown(k_job, jobs::job_state::failed);
   BOOST_TEST(judge.violations().size() == 1U);
-  judge.expect_crashes(task);
+  judge.expect_worker_crashes(task);
   judge.shown(k_job, jobs::job_state::failed);
   BOOST_TEST(judge.violations().size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(one_crash_is_no_reason_to_fail, judged_job)
 {
-  judge.expect_crashes(task);
+  judge.expect_worker_crashes(task);
   crash(*this, 1);
   judge.shown(k_job, jobs::job_state::failed);
   BOOST_TEST(judge.violations().size() == 1U);
--- a/Source/UnitTests/Node/PartitionOwnerTest.cpp
+++ b/Source/UnitTests/Node/PartitionOwnerTest.cpp
@@ -146,7 +146,7 @@
   const auto calls_after_loss = [this](bool heard)
   {
     const unsigned before = wire.calls;
-    wire.store.forget_history();
+    wire.store.discard_history();
     time.run_until(time.now() + milliseconds{1});
     if (heard)
       owner.store_heard();
