--- a/Source/Core/Model/AdviceModel.cpp
+++ b/Source/Core/Model/AdviceModel.cpp
@@ -26,9 +26,10 @@
 {
 }
 
-bool advice_model::permits(const std::string& step, const std::string& life) const
+bool advice_model::permits(const std::string& step, const std::string& incarnation) const
 {
-  return static_cast<double>(common::stable_hash(step + "/" + life, m_seed) % k_share_resolution) <
+  return static_cast<double>(common::stable_hash(step + "/" + incarnation, m_seed) %
+                             k_share_resolution) <
          m_settings.permitted_share * static_cast<double>(k_share_resolution);
 }
 
@@ -56,11 +57,11 @@
   {
     const std::string worker = each;
     const auto known = m_incarnations.find(worker);
-    const std::string& life = known == m_incarnations.end() ? worker : known->second;
-    if (!permits(step, life))
+    const std::string& incarnation = known == m_incarnations.end() ? worker : known->second;
+    if (!permits(step, incarnation))
       continue;
     const std::string ticket = "t" + std::to_string(m_tickets.size());
-    m_tickets[ticket] = {step, life, m_time.now() + m_settings.valid};
+    m_tickets[ticket] = {step, incarnation, m_time.now() + m_settings.valid};
     good.push_back({worker, ticket});
   }
   return {
@@ -71,10 +72,10 @@
 }
 
 bool advice_model::valid(const std::string& ticket, const std::string& step,
-                         const std::string& life) const
+                         const std::string& incarnation) const
 {
   const auto found = m_tickets.find(ticket);
-  return found != m_tickets.end() && found->second.step == step && found->second.life == life &&
-         m_time.now() <= found->second.until;
+  return found != m_tickets.end() && found->second.step == step &&
+         found->second.incarnation == incarnation && m_time.now() <= found->second.until;
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/AdviceModel.h
+++ b/Source/Core/Model/AdviceModel.h
@@ -32,29 +32,30 @@
   // Handles a call from `machine`. The calls of one machine are answered one after the other.
   void handle(const std::string& machine, const http::request& call, http::reply_handler done);
   // Sets the present incarnation of the worker with that id.
-  void set_incarnation(const std::string& id, const std::string& life)
+  void set_incarnation(const std::string& id, const std::string& incarnation)
   {
-    m_incarnations[id] = life;
+    m_incarnations[id] = incarnation;
   }
   // Whether the ticket is valid now for starting the step on that incarnation of a worker.
-  bool valid(const std::string& ticket, const std::string& step, const std::string& life) const;
+  bool valid(const std::string& ticket, const std::string& step,
+             const std::string& incarnation) const;
 
 private:
   struct issued
   {
     std::string step;
-    std::string life; // the worker's incarnation
+    std::string incarnation; // the worker's incarnation
     common::time_point until;
   };
 
-  bool permits(const std::string& step, const std::string& life) const;
+  bool permits(const std::string& step, const std::string& incarnation) const;
   http::reply answer(const std::string& body);
 
   common::timekeeper& m_time;
   std::uint64_t m_seed;
   advice_settings m_settings;
-  std::map<std::string, common::time_point>
-      m_free_at; // when the machine's last call is answered, by machine
+  // By machine: when the last of its calls is answered.
+  std::map<std::string, common::time_point> m_free_at;
   std::map<std::string, std::string> m_incarnations; // by worker id
   std::map<std::string, issued> m_tickets;
 };
--- a/Source/Core/Model/CallerModel.cpp
+++ b/Source/Core/Model/CallerModel.cpp
@@ -167,20 +167,20 @@
     const auto step = static_cast<std::uint32_t>(draw(m_specs[id].steps.size()));
     const auto index = static_cast<std::uint32_t>(draw(m_specs[id].steps[step].count));
     const bool late = draw(k_late_crash_odds) == 0;
-    crash_at(id, step, index,
-             late ? draw_time(k_late_crash, k_latest_crash) : draw_time(k_crash, k_late_crash));
+    set_crash(id, step, index,
+              late ? draw_time(k_late_crash, k_latest_crash) : draw_time(k_crash, k_late_crash));
   }
 }
 
 std::string caller_model::submit_crashing(const jobs::job_spec& spec, duration after)
 {
   std::string id = hand_in(spec);
-  crash_at(id, 0, 0, after);
+  set_crash(id, 0, 0, after);
   return id;
 }
 
-void caller_model::crash_at(const std::string& id, std::uint32_t step, std::uint32_t index,
-                            duration after)
+void caller_model::set_crash(const std::string& id, std::uint32_t step, std::uint32_t index,
+                             duration after)
 {
   for (std::uint32_t cycle = 0; cycle < m_specs[id].cycles(); ++cycle)
   {
--- a/Source/Core/Model/CallerModel.h
+++ b/Source/Core/Model/CallerModel.h
@@ -60,7 +60,7 @@
 
 private:
   std::string hand_in();
-  void crash_at(const std::string& id, std::uint32_t step, std::uint32_t index, duration after);
+  void set_crash(const std::string& id, std::uint32_t step, std::uint32_t index, duration after);
   jobs::job_spec random_spec();
   void submit(const std::string& id, const std::string& body, unsigned tries);
   void on_submitted(const std::string& id, const std::string& body, unsigned tries,
@@ -79,8 +79,8 @@
   std::map<std::string, jobs::job_spec> m_specs;
   std::map<std::string, std::string> m_prefixes; // by job
   std::map<task_ref, duration> m_crashes;        // time until the task crashes its worker
-  std::map<std::string, time_point>
-      m_accepted_at; // by job: first acceptance that its caller received
+  // By job: when its caller first received an acceptance.
+  std::map<std::string, time_point> m_accepted_at;
   std::map<std::string, jobs::job_state> m_states;
   std::uint64_t m_jobs = 0;
 };
--- a/Source/Core/Model/CancelJudge.cpp
+++ b/Source/Core/Model/CancelJudge.cpp
@@ -36,9 +36,9 @@
 
 bool cancel_judge::cell_undisturbed() const
 {
-  const network_faults& troubles = m_cell.network().troubles;
-  return troubles.cuts.empty() && troubles.lost_worker_reply_share == 0.0 &&
-         troubles.delayed_worker_call_share == 0.0 &&
+  const network_faults& faults = m_cell.network().troubles;
+  return faults.cuts.empty() && faults.lost_worker_reply_share == 0.0 &&
+         faults.delayed_worker_call_share == 0.0 &&
          std::ranges::all_of(m_cell.instances(), [this](const explored_instance& each)
                              { return m_contacts.connected(each); });
 }
--- a/Source/Core/Model/CellExplorer.cpp
+++ b/Source/Core/Model/CellExplorer.cpp
@@ -77,11 +77,11 @@
   }
 }
 
-void watch_long_running(explored_cell& cell, const cell_faults& troubles)
+void watch_long_running(explored_cell& cell, const cell_faults& faults)
 {
   cell.judge().check_long_running(usable_workers(cell), cell.time().now(),
-                                  troubles.disturbed_until());
-  cell.time().schedule(k_check_period, [&cell, &troubles] { watch_long_running(cell, troubles); });
+                                  faults.disturbed_until());
+  cell.time().schedule(k_check_period, [&cell, &faults] { watch_long_running(cell, faults); });
 }
 } // namespace
 
@@ -89,19 +89,19 @@
 {
   explored_cell cell(seed, partitions);
   const logged_time logged(cell);
-  cell_faults troubles(cell, without);
+  cell_faults faults(cell, without);
   cell.time().schedule(k_first_job,
                        [&cell]
                        {
                          cell.callers().submit_long_running();
                          cell.callers().submit_jobs_until(cell.begin() + k_fault_period);
                        });
-  watch_long_running(cell, troubles);
+  watch_long_running(cell, faults);
   const count_judge counts(cell, cell.begin() + k_run_length);
   const cancel_judge cancelled(cell, cell.begin() + k_run_length);
-  troubles.draw();
+  faults.draw();
   if (how == restarts::same_id)
-    troubles.draw_restarts(seed);
+    faults.draw_restarts(seed);
   cell.time().run_until(cell.begin() + k_run_length);
   finish_work(cell);
   cell.callers().query_all();
@@ -109,7 +109,7 @@
   cell.judge().check_all_ended(cell.callers().states());
   std::vector<std::string> violations = cell.judge().violations();
   violations.insert(violations.end(), counts.violations().begin(), counts.violations().end());
-  return {std::move(violations), troubles.descriptions(), cell.judge().accepted_jobs(),
-          cell.judge().starts(), counts.counted(),        counts.unknown()};
+  return {std::move(violations), faults.descriptions(), cell.judge().accepted_jobs(),
+          cell.judge().starts(), counts.counted(),      counts.unknown()};
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/CellFaults.h
+++ b/Source/Core/Model/CellFaults.h
@@ -91,7 +91,7 @@
   // Restarts the worker `times` times in a row.
   void restart(fleet_worker& which, std::uint64_t times);
   void start_next_incarnation(fleet_worker& which, std::uint64_t times);
-  void change_capacity(fleet_worker& which, const common::resources& room);
+  void change_capacity(fleet_worker& which, const common::resources& capacity);
   network_cuts links_of(const fleet_worker& which) const;
   void drop_omitted_rows();
   void spend_quota(explored_instance& which, const process_time* process, time_point end);
--- a/Source/Core/Model/CellRestartFaults.cpp
+++ b/Source/Core/Model/CellRestartFaults.cpp
@@ -109,11 +109,11 @@
     which.settings.capacity = common::scaled(full_capacity, 0.5);
   m_cell.fleet().begin_life(which);
   which.settings.capacity = full_capacity; // for the next incarnation
-  const std::string life = which.settings.life;
+  const std::string incarnation = which.settings.life;
   m_cell.time().schedule(draw_restart_time(milliseconds(1), k_entry_period),
-                         [this, &which, life]
+                         [this, &which, incarnation]
                          {
-                           if (which.model && which.settings.life == life)
+                           if (which.model && which.settings.life == incarnation)
                              m_cell.update_entry(which);
                          });
   if (times > 1)
--- a/Source/Core/Model/CellWorkerFaults.cpp
+++ b/Source/Core/Model/CellWorkerFaults.cpp
@@ -66,9 +66,9 @@
   if (which.listed)
     m_cell.judge().worker_leaving(which.settings.life, m_cell.time().now());
   m_cell.time().schedule(m_cell.draw_time(milliseconds(2000), milliseconds(11000)),
-                         [this, &which, life = which.settings.life]
+                         [this, &which, incarnation = which.settings.life]
                          {
-                           if (!which.model || which.settings.life != life)
+                           if (!which.model || which.settings.life != incarnation)
                              return; // the worker has crashed since the drain began
                            worker_fleet::end_life(which);
                            m_cell.fleet().remove_entry(which);
@@ -140,16 +140,16 @@
     fleet_worker& which = m_cell.workers()[m_cell.draw(m_cell.workers().size())];
     if (!which.model || !which.corrupt_entry.empty())
       continue;
-    const std::string life = which.settings.life;
-    record_fault("break the entry of " + life);
+    const std::string incarnation = which.settings.life;
+    record_fault("break the entry of " + incarnation);
     which.corrupt_entry = k_corrupt_entries[m_cell.draw(k_corrupt_entries.size())];
     m_cell.update_entry(which);
     const duration time = m_cell.draw_time(milliseconds(500), milliseconds(12000));
     extend_disturbance(time);
     m_cell.time().schedule(time,
-                           [this, &which, life]
+                           [this, &which, incarnation]
                            {
-                             if (!which.model || which.settings.life != life)
+                             if (!which.model || which.settings.life != incarnation)
                                return;
                              which.corrupt_entry.clear();
                              m_cell.update_entry(which);
@@ -192,9 +192,9 @@
 }
 
 // The worker's entry shows the new capacity only when the worker writes it next.
-void cell_faults::change_capacity(fleet_worker& which, const common::resources& room)
+void cell_faults::change_capacity(fleet_worker& which, const common::resources& capacity)
 {
-  worker_fleet::set_capacity(which, room);
+  worker_fleet::set_capacity(which, capacity);
   m_cell.time().schedule(m_cell.draw_time(milliseconds(1), k_entry_period),
                          [this, &which]
                          {
--- a/Source/Core/Model/RunJudge.h
+++ b/Source/Core/Model/RunJudge.h
@@ -50,7 +50,7 @@
   using job_lookup = std::function<bool(const std::string& job)>;
 
   // Without a lookup, the judge does not check whether refused jobs are stored.
-  explicit run_judge(job_lookup kept = nullptr) : m_is_stored(std::move(kept)) {}
+  explicit run_judge(job_lookup is_stored = nullptr) : m_is_stored(std::move(is_stored)) {}
 
   // The requests of callers and their answers.
   void submitted(const std::string& job, const jobs::job_spec& spec, std::uint32_t max_attempts);
@@ -127,8 +127,8 @@
     jobs::job_spec spec;
     std::uint32_t max_attempts = 1;
     bool accepted = false;
-    bool refused =
-        false; // the latest submission was; neither it nor an earlier one may take effect
+    // Whether the latest submission was; then neither it nor an earlier one may take effect.
+    bool refused = false;
     bool started = false;
     bool cancel_requested = false;
     std::optional<common::time_point> cancelled_at;
--- a/Source/Core/Model/WorkerFleet.cpp
+++ b/Source/Core/Model/WorkerFleet.cpp
@@ -44,14 +44,14 @@
 void worker_fleet::identify_incarnation(fleet_worker& which, const incarnation_plan& plan)
 {
   worker_settings& settings = which.settings;
-  ++which.life;
+  ++which.incarnations_begun;
   const auto now = std::chrono::duration_cast<milliseconds>(m_time.now().time_since_epoch());
   const auto wall = std::chrono::duration_cast<milliseconds>(m_time.wall().time_since_epoch());
   std::int64_t started_ms = (wall + plan.wall_ahead).count();
   if (plan.keeps_id)
   {
     started_ms += started_ms == settings.started_wall_ms ? 1 : 0;
-    settings.life = settings.id + "~" + std::to_string(which.life);
+    settings.life = settings.id + "~" + std::to_string(which.incarnations_begun);
     settings.clock_ahead =
         plan.clock -
         milliseconds(std::llround(static_cast<double>(now.count()) * settings.clock_rate));
@@ -59,7 +59,7 @@
   else
   {
     remove_entry(which);
-    settings.id = "worker-" + which.machine + "-" + std::to_string(which.life);
+    settings.id = "worker-" + which.machine + "-" + std::to_string(which.incarnations_begun);
     settings.life = settings.id;
   }
   settings.started_wall_ms = started_ms;
@@ -68,7 +68,8 @@
 
 void worker_fleet::begin_life(fleet_worker& which)
 {
-  identify_incarnation(which, which.life > 0 && m_plan ? m_plan() : incarnation_plan{});
+  identify_incarnation(which,
+                       which.incarnations_begun > 0 && m_plan ? m_plan() : incarnation_plan{});
   which.draining = false;
   which.corrupt_entry.clear();
   which.model = std::make_unique<worker_model>(m_time, which.settings, m_advice, m_judge, m_course);
--- a/Source/Core/Model/WorkerFleet.h
+++ b/Source/Core/Model/WorkerFleet.h
@@ -31,7 +31,7 @@
   worker_settings settings; // with the id of its present or latest incarnation
   std::string machine;
   std::unique_ptr<worker_model> model; // null between two incarnations
-  unsigned life = 0;
+  unsigned incarnations_begun = 0;
   bool listed = false;
   bool draining = false;
   bool shrunk = false;       // its capacity is reduced for a while
--- a/Source/Core/Model/WorkerModel.h
+++ b/Source/Core/Model/WorkerModel.h
@@ -34,8 +34,8 @@
 struct worker_settings
 {
   std::string id;
-  std::string
-      life; // unique per incarnation, also under the same id; the judges identify workers by it
+  // Unique per incarnation, also under the same id; the judges identify workers by it.
+  std::string life;
   std::int64_t started_wall_ms = 0; // Unix time of the incarnation's start, by its own wall clock
   common::endpoint address;
   std::string zone;
