--- a/Source/Core/Model/AdviceModel.h
+++ b/Source/Core/Model/AdviceModel.h
@@ -44,7 +44,7 @@
   struct issued
   {
     std::string step;
-    std::string incarnation; // the worker's incarnation
+    std::string incarnation; // of the worker
     common::time_point until;
   };
 
--- a/Source/Core/Model/CallerModel.h
+++ b/Source/Core/Model/CallerModel.h
@@ -46,8 +46,8 @@
   std::string hand_in(const jobs::job_spec& spec);
   // Submits that number of random jobs, each with one task that crashes the workers it runs on.
   void submit_crashing(std::uint64_t jobs);
-  // Submits a job whose first step's first task crashes its worker at `after` from the task's
-  // start. Returns the job's id.
+  // Submits a job whose first step's first task crashes its worker when `after` has passed since
+  // its start. Returns the job's id.
   std::string submit_crashing(const jobs::job_spec& spec, duration after);
   // Time from the task's start until it crashes its worker; none if it does not.
   std::optional<duration> crashes_after(const task_ref& task) const;
--- a/Source/Core/Model/CancelJudge.cpp
+++ b/Source/Core/Model/CancelJudge.cpp
@@ -17,12 +17,12 @@
 } // namespace
 
 cancel_judge::cancel_judge(explored_cell& cell, time_point end)
-    : m_cell(cell), m_end(end), m_contacts(cell), m_undisturbed_since(cell.time().now())
+    : m_cell(cell), m_end(end), m_connectivity(cell), m_undisturbed_since(cell.time().now())
 {
-  look();
+  check_periodically();
 }
 
-void cancel_judge::look()
+void cancel_judge::check_periodically()
 {
   const time_point now = m_cell.time().now();
   if (now > m_end)
@@ -31,7 +31,7 @@
     m_undisturbed_since = now;
   if (now - m_undisturbed_since >= k_cancel_grace)
     m_cell.judge().check_cancelled_gone(now - k_cancel_grace);
-  m_cell.time().schedule(k_period, [this] { look(); });
+  m_cell.time().schedule(k_period, [this] { check_periodically(); });
 }
 
 bool cancel_judge::cell_undisturbed() const
@@ -40,6 +40,6 @@
   return faults.cuts.empty() && faults.lost_worker_reply_share == 0.0 &&
          faults.delayed_worker_call_share == 0.0 &&
          std::ranges::all_of(m_cell.instances(), [this](const explored_instance& each)
-                             { return m_contacts.connected(each); });
+                             { return m_connectivity.connected(each); });
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/CancelJudge.h
+++ b/Source/Core/Model/CancelJudge.h
@@ -20,12 +20,12 @@
   cancel_judge(explored_cell& cell, time_point end);
 
 private:
-  void look();
+  void check_periodically();
   bool cell_undisturbed() const;
 
   explored_cell& m_cell;
   time_point m_end;
-  connectivity_monitor m_contacts;
+  connectivity_monitor m_connectivity;
   time_point m_undisturbed_since;
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/ConnectivityMonitor.cpp
+++ b/Source/Core/Model/ConnectivityMonitor.cpp
@@ -14,18 +14,18 @@
 
 connectivity_monitor::connectivity_monitor(explored_cell& cell) : m_cell(cell)
 {
-  look();
+  check_periodically();
 }
 
-void connectivity_monitor::look()
+void connectivity_monitor::check_periodically()
 {
   for (const explored_instance& each : m_cell.instances())
   {
-    contact& recorded = m_contacts[each.name];
+    connectivity& recorded = m_connectivity[each.name];
     if (recorded.process != each.time.get() || !undisturbed(each))
       recorded = {each.time.get(), m_cell.time().now()};
   }
-  m_cell.time().schedule(k_period, [this] { look(); });
+  m_cell.time().schedule(k_period, [this] { check_periodically(); });
 }
 
 bool connectivity_monitor::undisturbed(const explored_instance& which) const
@@ -38,8 +38,8 @@
 
 bool connectivity_monitor::connected(const explored_instance& which) const
 {
-  const auto found = m_contacts.find(which.name);
-  return found != m_contacts.end() && which.up() && found->second.process == which.time.get() &&
+  const auto found = m_connectivity.find(which.name);
+  return found != m_connectivity.end() && which.up() && found->second.process == which.time.get() &&
          undisturbed(which) && m_cell.time().now() - found->second.since >= k_connected_after;
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/ConnectivityMonitor.h
+++ b/Source/Core/Model/ConnectivityMonitor.h
@@ -22,16 +22,16 @@
   bool connected(const explored_instance& which) const;
 
 private:
-  struct contact
+  struct connectivity
   {
     const process_time* process = nullptr; // differs after a restart of the instance
     time_point since{};
   };
 
-  void look();
+  void check_periodically();
   bool undisturbed(const explored_instance& which) const;
 
   explored_cell& m_cell;
-  std::map<std::string, contact> m_contacts; // by instance
+  std::map<std::string, connectivity> m_connectivity; // by instance
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/CountJudge.cpp
+++ b/Source/Core/Model/CountJudge.cpp
@@ -16,7 +16,6 @@
 constexpr milliseconds k_period{200};
 // A job that was accepted this long ago must be counted: it is known after 3 s and reported within
 // 2 s more.
-// more.
 constexpr milliseconds k_count_delay{5000};
 constexpr const char* k_timeout_ms = "3000";
 // A configuration must be in force this long after it was written.
@@ -24,7 +23,7 @@
 } // namespace
 
 count_judge::count_judge(explored_cell& cell, time_point end)
-    : m_cell(cell), m_end(end), m_contacts(cell)
+    : m_cell(cell), m_end(end), m_connectivity(cell)
 {
   query_all();
 }
@@ -35,7 +34,7 @@
     return;
   for (explored_instance& each : m_cell.instances())
   {
-    if (!m_contacts.connected(each))
+    if (!m_connectivity.connected(each))
       continue;
     ask(each, k_urgent_prefix);
     ask(each, k_plain_prefix);
@@ -56,7 +55,7 @@
             [this, &which, prefix, accepted_by, due](const http::outgoing_answer& answer)
             {
               on_answer(which, prefix, m_cell.callers().waiting(prefix, accepted_by), answer);
-              if (answer.status == 200 && m_contacts.connected(which))
+              if (answer.status == 200 && m_connectivity.connected(which))
                 check_configuration(which, due);
             });
       });
@@ -66,7 +65,7 @@
                             std::uint64_t waiting, const http::outgoing_answer& answer)
 {
   // The instance may have been disturbed while the query was in flight.
-  if (!m_contacts.connected(which))
+  if (!m_connectivity.connected(which))
     return;
   if (answer.status != 200)
   {
--- a/Source/Core/Model/CountJudge.h
+++ b/Source/Core/Model/CountJudge.h
@@ -40,7 +40,7 @@
 
   explored_cell& m_cell;
   time_point m_end;
-  connectivity_monitor m_contacts;
+  connectivity_monitor m_connectivity;
   std::vector<std::string> m_violations;
   std::size_t m_counted = 0;
   std::size_t m_unknown = 0;
--- a/Source/Core/Model/ExploredCell.cpp
+++ b/Source/Core/Model/ExploredCell.cpp
@@ -22,8 +22,7 @@
 namespace wire = adapter::wire;
 
 constexpr std::size_t k_instances = 4;
-// In thousandths of a core. The values differ, since partitions move to instances with more
-// processor.
+// In thousandths of a core: partitions move to the instances that have more.
 constexpr std::array<std::uint32_t, k_instances> k_processor_millis{120, 500, 120, 500};
 constexpr std::size_t k_workers = 9; // per partition
 // An instance counts as just started for this long.
--- a/Source/Core/Model/ExploredCell.h
+++ b/Source/Core/Model/ExploredCell.h
@@ -112,8 +112,8 @@
   std::uint64_t m_seed;
   worker_fleet m_fleet;
   std::vector<explored_instance> m_instances;
-  std::map<time_point, std::uint64_t>
-      m_configurations; // the operator's versions, by the time of writing
+  // The versions of the operator's configuration, by the time of writing.
+  std::map<time_point, std::uint64_t> m_configurations;
   std::uint64_t m_incarnations = 0;
   std::optional<processor_costs> m_costs;
   bool m_suspended_clocks = false;
--- a/Source/Core/Model/ProcessorModel.h
+++ b/Source/Core/Model/ProcessorModel.h
@@ -66,7 +66,7 @@
   duration m_busy_time{};
   duration m_last_delay{};
   duration m_longest_delay{};
-  std::shared_ptr<int> m_alive =
-      std::make_shared<int>(0); // expires with this object, which the clock may outlive
+  // Expires with this object, which the clock may outlive.
+  std::shared_ptr<int> m_alive = std::make_shared<int>(0);
 };
 } // namespace yardhill::model
--- a/Source/Core/Model/RunJudge.cpp
+++ b/Source/Core/Model/RunJudge.cpp
@@ -112,8 +112,8 @@
 
 bool run_judge::out_of_attempts(const std::string& job, const observed_job& observed) const
 {
-  std::map<task_ref, std::set<run_number>>
-      failures; // a gang's failures are counted at its first member
+  // A gang's failures are counted at its first member.
+  std::map<task_ref, std::set<run_number>> failures;
   for (auto each = m_tasks.lower_bound({job, {}}); each != m_tasks.end() && each->first.job == job;
        ++each)
   {
--- a/Source/Core/Model/WorkerModel.h
+++ b/Source/Core/Model/WorkerModel.h
@@ -124,8 +124,8 @@
   std::int64_t m_lease_end = 0; // on the worker's own clock
   common::timekeeper::entry m_lease_expiry_event = 0;
   std::map<task_ref, active_run> m_runs;
-  std::map<task_ref, run_number>
-      m_highest_finished; // highest number of a stopped or ended run, by task
+  // The highest number of a stopped or ended run, by task.
+  std::map<task_ref, run_number> m_highest_finished;
   std::map<scheduling::end_number, scheduling::listed_end> m_ends;
   scheduling::end_number m_last_end = 0;
   std::list<waiting_hold> m_holds;
