--- a/Source/Core/Model/AdviceModel.cpp
+++ b/Source/Core/Model/AdviceModel.cpp
@@ -17,7 +17,7 @@
 {
 using nlohmann::json;
 namespace wire = adapter::wire;
-constexpr std::uint64_t k_share_steps = 1000;
+constexpr std::uint64_t k_share_resolution = 1000;
 } // namespace
 
 advice_model::advice_model(common::timekeeper& time, std::uint64_t seed,
@@ -26,10 +26,11 @@
 {
 }
 
-bool advice_model::permits(const std::string& step, const std::string& life) const
+bool advice_model::permits(const std::string& step, const std::string& incarnation) const
 {
-  return static_cast<double>(common::stable_hash(step + "/" + life, m_seed) % k_share_steps) <
-         m_settings.permitted_share * static_cast<double>(k_share_steps);
+  return static_cast<double>(common::stable_hash(step + "/" + incarnation, m_seed) %
+                             k_share_resolution) <
+         m_settings.permitted_share * static_cast<double>(k_share_resolution);
 }
 
 void advice_model::handle(const std::string& machine, const http::request& call,
@@ -55,12 +56,12 @@
   for (const json& each : in.at(wire::k_workers))
   {
     const std::string worker = each;
-    const auto known = m_lives.find(worker);
-    const std::string& life = known == m_lives.end() ? worker : known->second;
-    if (!permits(step, life))
+    const auto known = m_incarnations.find(worker);
+    const std::string& incarnation = known == m_incarnations.end() ? worker : known->second;
+    if (!permits(step, incarnation))
       continue;
     const std::string ticket = "t" + std::to_string(m_tickets.size());
-    m_tickets[ticket] = {step, life, m_time.now() + m_settings.valid};
+    m_tickets[ticket] = {step, incarnation, m_time.now() + m_settings.valid};
     good.push_back({worker, ticket});
   }
   return {
@@ -71,10 +72,10 @@
 }
 
 bool advice_model::valid(const std::string& ticket, const std::string& step,
-                         const std::string& life) const
+                         const std::string& incarnation) const
 {
   const auto found = m_tickets.find(ticket);
-  return found != m_tickets.end() && found->second.step == step && found->second.life == life &&
-         m_time.now() <= found->second.until;
+  return found != m_tickets.end() && found->second.step == step &&
+         found->second.incarnation == incarnation && m_time.now() <= found->second.until;
 }
 } // namespace yardhill::model
--- a/Source/Core/Model/AdviceModel.h
+++ b/Source/Core/Model/AdviceModel.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// The platform's advice service: which workers a policy permits for a step, with tickets.
+// Model of the platform's advice service, which says on which workers a policy permits a step and
+// issues a ticket for each of them.
 
 #include <map>
 #include <set>
@@ -25,32 +26,37 @@
 class advice_model
 {
 public:
-  // The policy follows from the seed.
+  // The seed determines which steps the policy permits on which workers.
   advice_model(common::timekeeper& time, std::uint64_t seed, const advice_settings& settings);
 
-  // A call of that machine; the calls of one machine are answered in turn.
+  // Handles a call from `machine`. The calls of one machine are answered one after the other.
   void handle(const std::string& machine, const http::request& call, http::reply_handler done);
-  // From now on that is the life of the worker with that id.
-  void worker_begins(const std::string& id, const std::string& life) { m_lives[id] = life; }
-  // Whether the ticket serves for the step at that life of a worker now.
-  bool valid(const std::string& ticket, const std::string& step, const std::string& life) const;
+  // Sets the present incarnation of the worker with that id.
+  void set_incarnation(const std::string& id, const std::string& incarnation)
+  {
+    m_incarnations[id] = incarnation;
+  }
+  // Whether the ticket is valid now for starting the step on that incarnation of a worker.
+  bool valid(const std::string& ticket, const std::string& step,
+             const std::string& incarnation) const;
 
 private:
   struct issued
   {
     std::string step;
-    std::string life; // of the worker
+    std::string incarnation; // of the worker
     common::time_point until;
   };
 
-  bool permits(const std::string& step, const std::string& life) const;
+  bool permits(const std::string& step, const std::string& incarnation) const;
   http::reply answer(const std::string& body);
 
   common::timekeeper& m_time;
   std::uint64_t m_seed;
   advice_settings m_settings;
-  std::map<std::string, common::time_point> m_free_at; // by machine
-  std::map<std::string, std::string> m_lives;          // by id
+  // By machine: when the last of its calls is answered.
+  std::map<std::string, common::time_point> m_free_at;
+  std::map<std::string, std::string> m_incarnations; // by worker id
   std::map<std::string, issued> m_tickets;
 };
 } // namespace yardhill::model
