--- a/Source/UnitTests/Golden/golden.py
+++ b/Source/UnitTests/Golden/golden.py
@@ -1,9 +1,9 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Golden sessions: real processes, the whole exchange compared with a file.
+"""Golden sessions: compare a whole exchange with real processes with a committed file.
 
-A session writes down what it sent and what it was answered, with names that differ between runs
-made alike. YARDHILL_GOLDEN=write writes the file instead of comparing; read the difference then.
+A session records its requests and the replies, with values that differ between runs replaced by
+fixed ones. YARDHILL_GOLDEN=write writes the file instead of comparing it; review the diff then.
 """
 import contextlib
 import difflib
@@ -19,14 +19,14 @@
 
 ZONE = "kakkanad"
 
-# Quick enough for a session, in the same proportions as the defaults.
+# Short enough for a session, in the same proportions as the defaults.
 TIMING = {"heartbeat_period": "200ms", "peer_silence": "1000ms", "owner_silence": "1200ms",
           "claim_wait": "400ms", "claim_timeout": "1500ms", "confirm_window": "2s",
           "ticket_life": "2s", "task_lease": "4s", "config_poll": "500ms"}
 
 
 class Session:
-    """Collects the exchange of one session."""
+    """Records the requests and replies of one session."""
 
     def __init__(self, name):
         self.name = name
@@ -36,7 +36,7 @@
         self.lines.append(text)
 
     def call(self, method, url, body=None, shown=None):
-        """Sends a request and notes both sides; returns (status, headers, bytes)."""
+        """Sends a request and records it with its reply; returns (status, headers, body bytes)."""
         status, headers, answer = http(method, url, body)
         self.lines.append(f"> {method} {self.alike(re.sub('http://[^/]*', '', url))} "
                           f"{shown or json.dumps(body)}")
@@ -51,7 +51,7 @@
 
     @staticmethod
     def alike(text):
-        """Takes out what differs from run to run."""
+        """Replaces values that differ from run to run by fixed ones."""
         text = re.sub(r"@[0-9a-f]{8}", "@RUN", text)
         text = re.sub(r'"retry_after_ms": [1-9]\d*', '"retry_after_ms": SOON', text)
         return re.sub(r"127\.0\.0\.1:\d+", "HOST", text)
@@ -72,7 +72,7 @@
 
 @contextlib.contextmanager
 def one_zone(port_offset, instances=3, workers=5):
-    """A started cluster of one zone, at ports of the session's own."""
+    """Starts a cluster of one zone; `port_offset` gives the session its own ports."""
     with Cluster(zones=1, instances_per_zone=instances, workers_per_zone=workers,
                  port_offset=port_offset, timing=TIMING) as cluster:
         cluster.start()
@@ -80,13 +80,13 @@
 
 
 def owner_and_others(cluster):
-    """The name of the instance that owns the zone, and those of all others."""
+    """Returns the name of the instance that owns the zone, and the names of all others."""
     owner = cluster.owner_of(ZONE)
     return owner, [name for name in cluster.instances if name != owner]
 
 
 def runs_of(cluster, workload):
-    """How often each task of the workload was started, by the workers' own record."""
+    """Returns how often the workers recorded a start of each task of the workload."""
     counts = {}
     for run in cluster.record():
         if run["task"].startswith(workload + "/"):
--- a/Source/UnitTests/Golden/platform_golden.py
+++ b/Source/UnitTests/Golden/platform_golden.py
@@ -8,7 +8,7 @@
 
 
 def spec_of(cell, kind, **changes):
-    """A submission of that kind of job, as the yard's file has it, with its first step changed."""
+    """Returns a submission of a job kind in the yard's file, with changes to its first step."""
     steps = [{"count": step["count"], "cpu": step["cpu_millis"], "mem_mb": 100,
               "estimate_ms": int(step["estimate"].removesuffix("ms"))}
              for step in kind_of(cell, kind)["steps"]]
@@ -27,7 +27,7 @@
 
 
 def call(session, cell, method, instance, kind, job="", body=None, shown=None):
-    """A caller's request, noted with its answer; the judge is told. Returns the status."""
+    """Sends a caller's request and records it with its reply; returns the status."""
     host = kind_of(cell, kind)["host"]
     status, headers, answer = http(method, url_of(cell, instance, kind, job), body, host=host)
     kept = {name: value for name, value in headers.items() if name == "Retry-After"}
@@ -38,7 +38,7 @@
 
 
 def submit(session, cell, instance, kind, job, body):
-    """Hands in a job that the judge is told of before."""
+    """Registers a job with the judge, submits it, and reports the status to the judge."""
     cell.admin("POST", f"/jobs/{job}", body)
     status = call(session, cell, "POST", instance, kind, job, body, shown="a job")
     cell.admin("POST", f"/jobs/{job}/answers/{status}")
@@ -46,7 +46,7 @@
 
 
 def state(cell, instance, kind, job):
-    """The job's state, and the judge is told of it; None if the instance does not tell."""
+    """Returns the job's state and reports it to the judge; None unless the status is 200."""
     status, _, answer = http("GET", url_of(cell, instance, kind, job),
                              host=kind_of(cell, kind)["host"])
     if status != 200:
--- a/Source/UnitTests/Golden/session_check.py
+++ b/Source/UnitTests/Golden/session_check.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""yardhill check on ten broken files: ten precise errors."""
+"""Runs `yardhill check` on ten invalid files, each of which must give a precise error."""
 import subprocess
 import sys
 
--- a/Source/UnitTests/Golden/session_platform_failures.py
+++ b/Source/UnitTests/Golden/session_platform_failures.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Owners killed, frozen and stopped, all killed at once, the store silent, workers lost: jobs go on."""
+"""Jobs complete although owners are killed, frozen or stopped, the store fails or a worker crashes."""
 import signal
 import sys
 
@@ -9,11 +9,11 @@
 
 KIND = "site-rebuild"
 JOBS, TASKS = 3, 20
-RUN_MS = 15000  # a tenth of it at the stand-in's workers
+RUN_MS = 15000  # the stand-in's workers take a tenth of this time (run_time below)
 
 
 class Failures:
-    """One cell, through one failure after the other."""
+    """Injects one failure after the other into one cell."""
 
     def __init__(self, session, cell):
         self.session = session
@@ -25,7 +25,7 @@
         return next(name for name in self.cell.instances if self.cell.lives(name))
 
     def under_way(self, what):
-        """Jobs whose first steps run when the failure comes."""
+        """Submits jobs and waits until their first steps run, before the failure is injected."""
         self.round += 1
         self.session.note(f"# {what}")
         self.jobs = [f"{self.round:08x}{number:08x}" for number in range(JOBS)]
--- a/Source/UnitTests/Golden/session_platform_jobs.py
+++ b/Source/UnitTests/Golden/session_platform_jobs.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Jobs on the platform: handed in twice, shown by every instance, cancelled, and sent wrongly."""
+"""Jobs on the platform: submitted twice, shown by every instance, cancelled, and invalid."""
 import sys
 
 from platform_golden import (PlatformCell, Session, call, spec_of, state, submit, verdict, wait_state,
--- a/Tools/cluster/cluster.py
+++ b/Tools/cluster/cluster.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Starts the stand-ins and instances of a yard on this machine, and ends what it started.
+"""Runs the stand-ins and instances of a yard as processes on this machine.
 
 Used by Tools/demo, the golden sessions and the recovery measurements.
 """
@@ -23,12 +23,12 @@
 
 
 def strip_comments(text):
-    """JSON with comments to JSON; our files hold no // inside strings but URLs."""
+    """Parses JSON with // comments; strings may contain // only within URLs."""
     return json.loads(re.sub(r"(^|[^:\"])//.*", r"\1", text))
 
 
 def http(method, url, body=None, timeout=GENEROUS_SECONDS, host=None):
-    """Returns (status, headers, bytes); status 0 when nobody answered."""
+    """Returns (status, headers, body bytes); the status is 0 when no reply arrived."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data=data, method=method)
     if host is not None:
@@ -45,7 +45,7 @@
 
 
 def wait_until(what, check, seconds=GENEROUS_SECONDS):
-    """Waits for the event; the limit is generous and only there to end a hopeless run."""
+    """Polls `check` until it returns a true value; the generous limit only ends a failed run."""
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         result = check()
@@ -56,7 +56,7 @@
 
 
 class ProcessGroup:
-    """Processes of one test or demo with a directory of their own; ends what it started."""
+    """The processes of one test or demo, with a temporary directory; `stop` ends them all."""
 
     def __init__(self):
         self.directory = tempfile.TemporaryDirectory(prefix="yardhill-")
@@ -84,7 +84,7 @@
         return self.processes[name].wait(GENEROUS_SECONDS)
 
     def process_cost(self, name):
-        """(processor seconds, resident KiB) of a process so far."""
+        """Returns (processor seconds used so far, resident KiB) of a process."""
         pid = self.processes[name].pid
         fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
         ticks = int(fields[11]) + int(fields[12])
@@ -112,7 +112,10 @@
 
 
 class Cluster(ProcessGroup):
-    """A platform, workers of each zone, and instances; ports are offset so that several can run."""
+    """A platform, the workers of each zone, and instances.
+
+    `port_offset` shifts all ports, so that several clusters can run at once.
+    """
 
     def __init__(self, yard="periyar", zones=None, instances_per_zone=2, workers_per_zone=None,
                  port_offset=0, timing=None, partitions=None, writes=300):
@@ -147,7 +150,7 @@
         self.admin = {zone: 17001 + port_offset + index for index, zone in enumerate(self.zones)}
 
     def write_files(self):
-        """Writes the declared set as it stands now."""
+        """Writes the current cell and workload declarations."""
         self.files[0].write_text(json.dumps(self.cell))
         self.files[1].write_text(json.dumps(self.workloads))
 
@@ -215,7 +218,7 @@
         wait_until(f"{name} to be ready", lambda: http("GET", self.url(name) + "/readyz")[0] == 200)
 
     def owner_of(self, zone):
-        """The name of the living instance that owns the zone's first partition."""
+        """Returns the name of a running instance that owns a partition of the zone, or None."""
         for name, own in self.instances.items():
             if own["zone"] != zone or not self.lives(name):
                 continue
@@ -232,7 +235,7 @@
             raise RuntimeError(f"faults not set: {body!r}")
 
     def record(self):
-        """Every start that any worker took."""
+        """Returns every task start that any worker accepted."""
         runs = []
         for zone in self.zones:
             runs += json.loads(http("GET", self.admin_url(zone) + "/record")[2])
--- a/Tools/cluster/platform_cell.py
+++ b/Tools/cluster/platform_cell.py
@@ -2,19 +2,19 @@
 # SPDX-License-Identifier: Apache-2.0
 """Instances on a stand-in of the users' platform, all on this machine.
 
-Used by Tools/demo and the golden sessions. What runs at the workers is judged by the stand-in.
+Used by Tools/demo and the golden sessions. The stand-in judges what runs at the workers.
 """
 import json
 
 from cluster import ROOT, STAND_INS, YARDHILL, ProcessGroup, http, strip_comments, wait_until
 
-# Ports after the cell's first one.
-# Those from 100 on are the workers', unless more instances than 20 may ask for advice.
+# Offsets from the cell's first port. The workers use those from 100 on, unless more than 20
+# instances may request advice.
 ADMIN, CALLERS, READY, OWN, ADVICE = 2, 10, 30, 40, 80
 
 
 class PlatformCell(ProcessGroup):
-    """The stand-in, and instances in the yard's zones by turns."""
+    """The stand-in and instances that are assigned to the yard's zones in rotation."""
 
     def __init__(self, yard, first_port, instances=6, workers=None, run_time=1.0):
         super().__init__()
@@ -37,7 +37,7 @@
     def address(self, name):
         return f"127.0.0.1:{self.port(name, CALLERS)}"
 
-    def store_address(self, name):  # as the instance reaches it
+    def store_address(self, name):  # the address that the instance connects to
         return f"127.0.0.1:{self.first_port}"
 
     def advice_address(self, name):
@@ -47,7 +47,7 @@
         return ",".join(self.address(name) for name in self.instances if self.lives(name))
 
     def admin(self, method, path, body=None):
-        """A call to the stand-in; the body is sent as JSON."""
+        """Calls the stand-in with a JSON body; returns the parsed reply."""
         status, _, answer = http(method, f"http://127.0.0.1:{self.first_port + ADMIN}{path}", body)
         if status != 200:
             raise RuntimeError(f"{method} {path}: {status} {answer!r}")
@@ -57,7 +57,7 @@
         return self.admin("GET", "/report")
 
     def configuration(self):
-        """The operator's row: a queue for each kind of job."""
+        """Returns the operator's configuration row, with a queue for each kind of job."""
         routes = [{"name": kind["name"], "host": kind["host"],
                    "path_prefix": kind["path_prefix"], "service": self.yard["service"],
                    "priority": kind["priority"], "max_attempts": kind["max_attempts"],
@@ -69,7 +69,7 @@
                 "services": {self.yard["service"]: {"rejects_overload": False}}}
 
     def apply(self, change=lambda configuration: None):
-        """The operator writes the next version."""
+        """Writes the next version of the configuration, as the operator would."""
         self.version += 1
         configuration = self.configuration()
         change(configuration)
@@ -110,7 +110,7 @@
         wait_until("an owner", self.owner)
 
     def owner(self):
-        """The name of the living instance that owns the cell's partition, by its own metrics."""
+        """Returns the running instance whose metrics say that it owns the partition, or None."""
         for name in self.instances:
             if not self.lives(name):
                 continue
--- a/Tools/soak/__main__.py
+++ b/Tools/soak/__main__.py
@@ -25,14 +25,14 @@
 REGRESSIONS = pathlib.Path(__file__).with_name("regressions.txt")
 RUN_TIME = 0.2
 CORES_PER_WORKER = 16
-# By size: callers' threads, and between how many troubles a second there are in a wave.
+# By size: number of caller threads, and the range of troubles per second within a wave.
 THREADS = {"small": 8, "dense": 8, "large": 24}
 DENSITY = {"small": (0.3, 1.0), "dense": (1.0, 2.5), "large": (0.5, 1.5)}
 KNOWN_SECONDS = 20.0
 
 
 def draw_size(draw, size):
-    """(instances, workers)"""
+    """Returns (number of instances, number of workers)."""
     if size == "large":
         return draw.randint(30, min(40, MOST_INSTANCES)), draw.randint(250, min(350, MOST_WORKERS))
     return draw.randint(3, 8), draw.randint(6, 24)
@@ -43,13 +43,13 @@
         self.seed, self.size, self.seconds = seed, size, seconds
         draw = random.Random(f"{seed}/{size}")
         self.instances, self.workers = draw_size(draw, size)
-        cores = min(self.workers, 40) * CORES_PER_WORKER  # more would only be more of the same
+        cores = min(self.workers, 40) * CORES_PER_WORKER  # more load would test nothing new
         self.plan = LoadPlan(seed, draw, seconds, cores, RUN_TIME)
         print(f"seed {seed}, {size}: {self.instances} instances, {self.workers} workers, "
-              f"{seconds:.0f} s; {self.plan.told()}", flush=True)
+              f"{seconds:.0f} s; {self.plan.describe()}", flush=True)
 
     def play(self):
-        """Returns the summary line and the broken promises."""
+        """Runs the soak; returns the summary line and the list of broken guarantees."""
         with SoakCell(self.instances, self.workers, RUN_TIME) as cell:
             cell.start()
             began = time.monotonic()
@@ -59,14 +59,14 @@
             callers = Callers(cell, ledger, THREADS[self.size], self.seed)
             watch = Watch(cell, ledger, troubles, self.seed)
             self.under_load(cell, ledger, troubles, callers, began)
-            self.to_the_end(cell, ledger, callers, watch)
+            self.settle_and_check(cell, ledger, callers, watch)
             failures = troubles.failures + callers.failures + watch.failures
             for failure in failures:
                 ledger.breaks("SOAK", f"the soak itself failed: {failure}")
             summary = self.summary(cell, ledger, troubles, callers, watch)
             if ledger.broken:
                 (cell.path / "soak.txt").write_text(
-                    "\n".join([summary, *sorted(troubles.told), *ledger.broken]) + "\n")
+                    "\n".join([summary, *sorted(troubles.event_lines), *ledger.broken]) + "\n")
                 print(f"  logs kept in {cell.keep_directory()}")
             return summary, ledger.broken
 
@@ -75,14 +75,14 @@
         print("  drawn: " + ", ".join(f"{at:.1f} {kind}" for at, kind, _ in drawn), flush=True)
         for job in self.plan.jobs:
             ledger.add(job)
-            callers.at(began + job.plan.at, callers.hand_in, job)
+            callers.at(began + job.plan.at, callers.submit, job)
         player = threading.Thread(target=troubles.play, args=(began, drawn), daemon=True)
         player.start()
         time.sleep(max(0.0, began + self.seconds - time.monotonic()))
         player.join()
         troubles.heal()
 
-    def to_the_end(self, cell, ledger, callers, watch):
+    def settle_and_check(self, cell, ledger, callers, watch):
         settle(cell, ledger, callers)
         check_known(ledger, callers)
         until = time.monotonic() + KNOWN_SECONDS
@@ -101,19 +101,19 @@
         calls, under_stop = callers.calls()
         return (f"seed {self.seed} {self.size}: {self.instances} instances, {self.workers} workers, "
                 f"{len(jobs)} jobs, {accepted} accepted, {cell.report()['starts']} starts, "
-                f"{len(troubles.told)} troubles, {calls} calls ({under_stop} under SIGTERM), "
+                f"{len(troubles.event_lines)} troubles, {calls} calls ({under_stop} under SIGTERM), "
                 f"{watch.looks['counts']} counts compared, calm {watch.looks['longest_calm']:.0f} s, "
                 f"{watch.most_resident:.0f} MiB; {len(ledger.broken)} broken {ledger.by_rule()}")
 
 
 def regressions():
-    """[(seed, size, seconds)] of the runs that once failed and are mended."""
+    """Returns [(seed, size, seconds)] of the once failing runs whose fault is fixed (`mended`)."""
     lines = [line.split("#")[0].split() for line in REGRESSIONS.read_text().splitlines()]
     return [(int(line[0]), line[1], float(line[2])) for line in lines if line and line[3] == "mended"]
 
 
 def play_all(runs, jobs):
-    """Plays each run, so many at a time as processes of their own; their exit codes."""
+    """Plays each run in its own process, `jobs` at a time; returns the exit codes."""
     def play(run):
         seed, size, seconds = run
         process = subprocess.Popen(
@@ -151,7 +151,7 @@
 
 def main():
     given = arguments()
-    signal.signal(signal.SIGTERM, end)  # what was started is ended on the way out
+    signal.signal(signal.SIGTERM, end)  # so that started processes are ended on exit
     if given.seed is not None:
         summary, broken = Run(given.seed, given.size, given.seconds).play()
         print(summary, flush=True)
--- a/Tools/soak/callers.py
+++ b/Tools/soak/callers.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Callers on connections that they keep open until the instance behind them is gone."""
+"""Callers that reuse their open connections until the instance at the other end is gone."""
 import enum
 import heapq
 import http.client
@@ -15,7 +15,8 @@
 
 DEADLINE_MS, TIMEOUT_SECONDS = 3000, 12.0
 MOST_TRIES = 4
-# A connection that ends without an answer so long after the request had been read by then.
+# If a connection closes without a reply later than this after the request was sent, the instance
+# is assumed to have read the request.
 READ_BY_SECONDS = 0.5
 ANY_SHARE = 0.1
 
@@ -29,7 +30,7 @@
 
 
 class Answer:
-    """What came of a call; the status is 0 without a whole answer."""
+    """The result of a call; the status is 0 unless a complete reply arrived."""
 
     def __init__(self, outcome, status=0, body=b""):
         self.outcome = outcome
@@ -38,7 +39,7 @@
 
 
 class Connections:
-    """One caller's, at most one to each instance."""
+    """The open connections of one caller, at most one to each instance."""
 
     def __init__(self, cell, ledger):
         self.cell = cell
@@ -46,7 +47,7 @@
         self.open = {}
         self.admin = None
         self.calls = 0
-        self.calls_under_stop = 0  # on an open connection to an instance that had got SIGTERM
+        self.calls_under_stop = 0  # calls on open connections to instances sent SIGTERM
 
     def call(self, name, method, path, body=None):
         self.calls += 1
@@ -88,7 +89,10 @@
             return Answer(Outcome.CUT)
 
     def check_cut(self, name, answer, sent_at, what):
-        """An answer that had begun is sent whole; so is one to a request that was read."""
+        """Records CUT if a reply is truncated or a stopping instance drops a request it has read.
+
+        Nothing is recorded if the soak killed, froze or restarted the instance during the call.
+        """
         late = time.monotonic() - sent_at
         cut = answer.outcome == Outcome.CUT
         read = cut or (answer.outcome == Outcome.CLOSED and late > READ_BY_SECONDS)
@@ -99,7 +103,7 @@
             self.ledger.breaks("CUT", f"{what} at {name}: {answer.outcome.value} after {late:.2f} s"
                                       f"{', under SIGTERM' if stopping else ''}")
 
-    def tell_judge(self, path, body=None):
+    def notify_judge(self, path, body=None):
         for _ in range(3):
             try:
                 if self.admin is None:
@@ -121,7 +125,7 @@
 
 
 class Callers:
-    """Threads that do what is due: hand jobs in, ask for their states, cancel them."""
+    """Threads that run scheduled actions: submit jobs, query their states, cancel them."""
 
     def __init__(self, cell, ledger, threads, seed):
         self.cell = cell
@@ -131,7 +135,7 @@
         self.changed = threading.Condition()
         self.stopped = False
         self.polling = True
-        self.busy = 0  # threads that do something
+        self.busy = 0  # number of threads that are running an action
         self.all_connections = []
         self.threads = [threading.Thread(target=self.work, args=(random.Random(f"{seed}/{n}"),),
                                          daemon=True) for n in range(threads)]
@@ -162,12 +166,12 @@
         return None
 
     def idle(self):
-        """Whether nothing is being done or overdue."""
+        """Whether no action is running or overdue."""
         with self.changed:
             return self.busy == 0 and not (self.due and self.due[0][0] <= time.monotonic())
 
     def calls(self):
-        """(all, those on open connections to instances under SIGTERM)"""
+        """Returns (all calls, calls on open connections to instances sent SIGTERM)."""
         return (sum(each.calls for each in self.all_connections),
                 sum(each.calls_under_stop for each in self.all_connections))
 
@@ -180,16 +184,17 @@
                 what(connections, draw, job)
                 with self.changed:
                     self.busy -= 1
-        except Exception as error:  # a fault of the soak itself: the run says so
+        except Exception as error:  # a fault of the soak itself, which the run reports
             self.failures.append(repr(error))
             raise
         finally:
             connections.close()
 
     def choose(self, connections, draw):
-        """An instance: open connections are used on, new ones go to those that are ready.
+        """Draws an instance that has an open connection or is ready.
 
-        Some go to any: the platform does so while too few are ready.
+        A share of calls (ANY_SHARE) goes to any instance, because the platform does the same while
+        too few instances are ready.
         """
         if draw.random() < ANY_SHARE:
             return draw.choice(list(self.cell.records))
@@ -205,23 +210,23 @@
         name = self.choose(connections, draw)
         return name, connections.call(name, method, self.path(job), body)
 
-    def hand_in(self, connections, draw, job):
+    def submit(self, connections, draw, job):
         if not job.tries:
-            connections.tell_judge(f"/jobs/{job.id}", job.body)
+            connections.notify_judge(f"/jobs/{job.id}", job.body)
         name, answer = self.call(connections, draw, "POST", job, job.body)
         if answer.outcome != Outcome.UNREACHABLE:
-            connections.tell_judge(f"/jobs/{job.id}/answers/{answer.status}")
+            connections.notify_judge(f"/jobs/{job.id}/answers/{answer.status}")
             self.ledger.answered(job, answer.status, name)
         if answer.status in ACCEPTED:
             if len(job.tries) == 1 or job.tries[-2] not in ACCEPTED:
                 self.after_acceptance(job, time.monotonic())
         elif job.accepted_at is None and len(job.tries) < MOST_TRIES:
-            self.at(time.monotonic() + draw.uniform(0.2, 1.2), self.hand_in, job)
+            self.at(time.monotonic() + draw.uniform(0.2, 1.2), self.submit, job)
 
     def after_acceptance(self, job, now):
         plan = job.plan
         if plan.again_after is not None:
-            self.at(now + plan.again_after, self.hand_in, job)
+            self.at(now + plan.again_after, self.submit, job)
             plan.again_after = None
         if plan.cancel_after is not None:
             self.at(now + plan.cancel_after, self.cancel, job)
@@ -243,17 +248,18 @@
             if answer.status != 200:
                 return
             state = json.loads(answer.body)["state"]
-            connections.tell_judge(f"/jobs/{job.id}/states/{state.replace('canceled', 'cancelled')}")
+            connections.notify_judge(
+                f"/jobs/{job.id}/states/{state.replace('canceled', 'cancelled')}")
             self.ledger.shown(job, state, name)
 
     def cancel(self, connections, draw, job):
         if job.cancelled_at is not None or job.final:
             return
-        connections.tell_judge(f"/jobs/{job.id}/cancel")
+        connections.notify_judge(f"/jobs/{job.id}/cancel")
         job.cancel_asked = True
         _, answer = self.call(connections, draw, "DELETE", job)
         if answer.status in ACCEPTED:
-            connections.tell_judge(f"/jobs/{job.id}/cancelled")
+            connections.notify_judge(f"/jobs/{job.id}/cancelled")
             job.cancelled_at = time.monotonic()
         elif answer.status != 410:
             self.at(time.monotonic() + 0.5, self.cancel, job)
--- a/Tools/soak/cell.py
+++ b/Tools/soak/cell.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""The cell under soak: ports of its own, and what was done to each instance, and when."""
+"""The cell under test, on its own block of ports, with a record of faults per instance."""
 import contextlib
 import pathlib
 import shutil
@@ -16,22 +16,22 @@
 from platform_cell import ADVICE, CALLERS, OWN, READY, PlatformCell  # noqa: E402
 from proxy import ProxyProcess  # noqa: E402
 
-# Below the ports that the system hands out, and beside those of the repository's other tools.
+# Below the system's ephemeral ports, and apart from the ports of the repository's other tools.
 BLOCK_SIZE = 1000
 PORT_BLOCKS = [*range(27000, 32000, BLOCK_SIZE), *range(10000, 16000, BLOCK_SIZE)]
-# Other soaks on the machine give theirs back.
-PORTS_PATIENCE = 300.0
+# Seconds to wait for a block: other soak runs on the machine release theirs when they end.
+PORT_CLAIM_TIMEOUT_SECONDS = 300.0
 LAST_PORT = BLOCK_SIZE - 1
-# Ports within a block; the stand-in and its workers take those before.
+# Offsets within a block; the stand-in and its workers use the lower ones.
 OWN_PORTS = {CALLERS: 600, READY: 650, OWN: 700, "store proxy": 800, "advice proxy": 850}
 MOST_INSTANCES, MOST_WORKERS = 45, 400
-# Seconds for a planned stop: the settings say 6, and a busy machine may take longer.
+# Seconds for a planned stop: stop_grace_s is 6, and a busy machine may take longer.
 STOP_LIMIT = 20.0
 
 
 def claim_ports():
-    """(first port, guard): a free block, and the socket that keeps other soaks off it."""
-    give_up = time.monotonic() + PORTS_PATIENCE
+    """Waits for a free block; returns (first port, socket that reserves the block)."""
+    give_up = time.monotonic() + PORT_CLAIM_TIMEOUT_SECONDS
     while (claimed := free_block()) is None:
         if time.monotonic() > give_up:
             raise RuntimeError(f"no free block of {BLOCK_SIZE} ports from {PORT_BLOCKS[0]} on")
@@ -40,7 +40,7 @@
 
 
 def free_block():
-    """As above, or None if other soaks hold them all."""
+    """Returns (first port, reserving socket), or None if all blocks are in use."""
     for first in PORT_BLOCKS:
         guard = socket.socket()
         sockets = [guard]
@@ -62,17 +62,17 @@
 
 
 class InstanceRecord:
-    """What the soak did to an instance; times are of time.monotonic()."""
+    """The state of an instance and its faults; times are from time.monotonic()."""
 
     def __init__(self):
         self.should_live = False
         self.ready = False
-        self.disturbed_at = 0.0  # latest kill, freeze or wake
+        self.disturbed_at = 0.0  # time of the latest start, kill, freeze or wake
         self.frozen = False
         self.stop_asked_at = None
-        self.log_bytes = 0  # written by its earlier lives
-        self.faults = 0  # of its connections or the store, under way
-        self.faults_end = 0.0  # of the latest
+        self.log_bytes = 0  # bytes written by earlier processes of the instance
+        self.faults = 0  # number of current connection or store faults
+        self.faults_end = 0.0  # when a connection or store fault last began or ended
 
 
 class SoakCell(PlatformCell):
@@ -119,12 +119,12 @@
             super().start_instance(name)
 
     def apply_next(self, change):
-        """One operator: its versions come one after the other."""
+        """Applies a configuration change; versions are written one at a time, as by one operator."""
         with self.apply_lock:
             self.apply(change)
 
     def kill_instance(self, name):
-        """SIGKILL; it stays down until it is started again."""
+        """Sends SIGKILL; returns False if the instance was not running."""
         with self.lock:
             if not self.lives(name):
                 return False
@@ -137,7 +137,7 @@
             return True
 
     def ask_to_stop(self, name):
-        """SIGTERM; false if it is not up, or stopping already."""
+        """Sends SIGTERM; returns False if the instance is not running or already stopping."""
         with self.lock:
             record = self.records[name]
             if not self.lives(name) or not record.should_live:
@@ -168,28 +168,31 @@
 
     @contextlib.contextmanager
     def faulty(self, names):
-        """While the connections of these instances, or the store for them, are in trouble."""
+        """Marks the instances as having a connection or store fault while the context is open."""
         for name in names:
-            self.note_fault(name, 1)
+            self.change_fault_count(name, 1)
         try:
             yield
         finally:
             for name in names:
-                self.note_fault(name, -1)
+                self.change_fault_count(name, -1)
 
-    def note_fault(self, name, change):
+    def change_fault_count(self, name, change):
         with self.lock:
             self.records[name].faults += change
             self.records[name].faults_end = time.monotonic()
 
-    def in_touch(self, name, seconds):
-        """Whether the instance has been up, without a trouble of its own or the store, so long."""
+    def undisturbed_for(self, name, seconds):
+        """Whether the instance has been ready and without a fault for so many seconds.
+
+        Faults are those of the instance, its connections and the store.
+        """
         record, since = self.records[name], time.monotonic() - seconds
         return (record.ready and record.should_live and record.faults == 0
                 and record.faults_end < since and not self.disturbed_since(name, since))
 
     def look(self):
-        """Asks every instance whether it is ready, and notes processes that ended by themselves."""
+        """Queries every instance's readiness and records processes that ended unexpectedly."""
         for name, record in self.records.items():
             with self.lock:
                 gone = record.should_live and name in self.processes and not self.lives(name)
@@ -208,13 +211,13 @@
                    for record in self.records.values())
 
     def keep_directory(self):
-        """Copies all logs to where they outlive the run."""
+        """Copies the run's files to a directory that is kept; returns its path."""
         self.kept = tempfile.mkdtemp(prefix="yardhill-soak-failed-")
         shutil.copytree(self.path, self.kept, dirs_exist_ok=True)
         return self.kept
 
     def wait_stopped(self, name):
-        """What is wrong with a planned stop that was asked for, or None."""
+        """Waits for a requested stop to end; returns a description of its fault, or None."""
         try:
             wait_until(f"{name} to end", lambda: not self.lives(name), STOP_LIMIT)
         except RuntimeError:
@@ -225,9 +228,9 @@
         return f"code {code} after SIGTERM"
 
     def has_started(self, name):
-        """Whether its present or latest life got so far as to say so.
+        """Whether the instance's latest process has logged its `started` event.
 
-        Before, it serves nobody, and SIGTERM ends it at once.
+        Before that event, the instance serves no requests, and SIGTERM may end it at once.
         """
         with open(self.path / f"{name}.log", "rb") as log:
             log.seek(self.records[name].log_bytes)
--- a/Tools/soak/checks.py
+++ b/Tools/soak/checks.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Looks at the cell while it runs, and at its end, for promises that only the whole shows."""
+"""Checks, during a run and at its end, the guarantees that concern the cell as a whole."""
 import json
 import random
 import threading
@@ -10,12 +10,13 @@
 from ledger import ACCEPTED, VISIBLE_SECONDS
 
 PERIOD = 0.5
-# Counts of waiting jobs hold at an instance that has had no trouble of its own for so long.
-TOUCH_FOR_COUNTS = 3.5
-# A task that lasts runs again within so much calm.
-CALM_FOR_LASTING = 9.0
+# Seconds without a fault at an instance after which its counts of waiting jobs are checked.
+COUNT_CHECK_CALM_SECONDS = 3.5
+# Seconds of calm (no troubles, all instances ready) within which a long-running task runs again.
+LONG_RUNNING_CALM_SECONDS = 9.0
 MOST_RESIDENT_MIB = 300
-# To end everything that was accepted, once all is mended; generous, as the machine may be busy.
+# Limits for all accepted jobs to end, and to be cancelled, after all faults have been removed;
+# generous, because the machine may be busy.
 SETTLE_SECONDS, CANCEL_SECONDS = 90.0, 30.0
 SETTLE_LEAST = 4.0
 
@@ -28,8 +29,8 @@
         self.draw = random.Random(f"{seed}/watch")
         self.calm_since = None
         self.most_resident = 0
-        self.running_at = {}  # a task that lasts: when it was last seen at work, or last missed
-        self.violations_told = 0
+        self.running_at = {}  # long-running task: when last seen running or reported as lost
+        self.violations_reported = 0
         self.stopped = threading.Event()
         self.failures = []
         self.looks = {"counts": 0, "lasting": 0, "longest_calm": 0.0}
@@ -40,7 +41,7 @@
         try:
             while not self.stopped.wait(PERIOD):
                 self.look()
-        except Exception as error:  # a fault of the soak itself: the run says so
+        except Exception as error:  # a fault of the soak itself, which the run reports
             self.failures.append(repr(error))
             raise
 
@@ -52,13 +53,13 @@
         self.cell.look()
         while self.cell.ends_by_themselves:
             self.ledger.breaks("ENDED", self.cell.ends_by_themselves.pop())
-        self.note_calm()
+        self.update_calm()
         self.check_counts()
-        self.check_lasting()
+        self.check_long_running()
         self.check_memory()
-        self.tell_violations()
+        self.report_violations()
 
-    def note_calm(self):
+    def update_calm(self):
         quiet = self.troubles.quiet_since()
         if quiet is None or not self.cell.all_ready():
             self.calm_since = None
@@ -74,8 +75,12 @@
                 and time.monotonic() - self.calm_since >= seconds)
 
     def check_counts(self):
-        """Others may be stopped and killed meanwhile: an instance in touch knows what waits."""
-        names = [name for name in self.cell.records if self.cell.in_touch(name, TOUCH_FOR_COUNTS)]
+        """Checks the counts of waiting jobs at a random instance that has had no recent fault.
+
+        Such an instance must know the waiting jobs even while others are stopped or killed.
+        """
+        names = [name for name in self.cell.records
+                 if self.cell.undisturbed_for(name, COUNT_CHECK_CALM_SECONDS)]
         if not names:
             return
         name = self.draw.choice(names)
@@ -95,30 +100,30 @@
                    and asked_at - job.accepted_at > VISIBLE_SECONDS
                    and not job.cancel_asked and not job.final and job.id not in started]
         self.looks["counts"] += bool(waiting)
-        if told < len(waiting) / 2 and self.cell.in_touch(name, TOUCH_FOR_COUNTS):
+        if told < len(waiting) / 2 and self.cell.undisturbed_for(name, COUNT_CHECK_CALM_SECONDS):
             self.ledger.breaks("MIXED", f"{name} says {told} jobs of {kind['name']} wait, and "
                                         f"{len(waiting)} do, such as {waiting[0].id}")
 
-    def lasting_tasks(self):
+    def long_running_tasks(self):
         for job in self.ledger.all():
-            if (job.lasting and not job.crashing and job.accepted_at is not None
+            if (job.long_running and not job.crashing and job.accepted_at is not None
                     and not job.cancel_asked):
                 step = job.body["phases"][0]
                 for index in range(step["count"]):
                     yield job, (job.id, 0, index)
 
-    def check_lasting(self):
+    def check_long_running(self):
         running = {tuple(task) for task in self.cell.admin("GET", "/runs")["tasks"]}
         now = time.monotonic()
-        for job, task in self.lasting_tasks():
+        for job, task in self.long_running_tasks():
             if task in running:
                 self.running_at[task] = now
                 continue
-            if not self.calm_for(CALM_FOR_LASTING):
+            if not self.calm_for(LONG_RUNNING_CALM_SECONDS):
                 continue
             self.looks["lasting"] += 1
             missed = now - max(self.running_at.get(task, 0), job.accepted_at, self.calm_since)
-            if missed > CALM_FOR_LASTING and not job.cancel_asked:
+            if missed > LONG_RUNNING_CALM_SECONDS and not job.cancel_asked:
                 self.ledger.breaks("LOST", f"{task}, which lasts, did not run for {missed:.1f} s "
                                            "of calm")
                 self.running_at[task] = now
@@ -130,27 +135,27 @@
             try:
                 resident = self.cell.process_cost(name)[1] / 1024
             except (OSError, IndexError):
-                continue  # it has just gone
+                continue  # the process has just ended
             if self.most_resident < MOST_RESIDENT_MIB < resident:
                 self.ledger.breaks("MEMORY", f"{name} has {resident:.0f} MiB resident")
             self.most_resident = max(self.most_resident, resident)
 
-    def tell_violations(self):
+    def report_violations(self):
         violations = self.cell.report()["violations"]
-        for violation in violations[self.violations_told:]:
+        for violation in violations[self.violations_reported:]:
             self.ledger.breaks("JUDGE", violation)
-        self.violations_told = len(violations)
+        self.violations_reported = len(violations)
 
 
 def settle(cell, ledger, callers):
-    """After all is mended: every accepted job ends, or can be cancelled, and is known."""
-    # Long enough that tasks which last are looked at in calm.
-    least = time.monotonic() + CALM_FOR_LASTING + SETTLE_LEAST
+    """Checks, after all faults were removed, that accepted jobs end or can be cancelled."""
+    # Waits long enough for long-running tasks to be checked in calm.
+    least = time.monotonic() + LONG_RUNNING_CALM_SECONDS + SETTLE_LEAST
     until = time.monotonic() + SETTLE_SECONDS
     open_jobs = ledger.all()
     while (open_jobs or time.monotonic() < least) and time.monotonic() < until:
         time.sleep(PERIOD)
-        open_jobs = [job for job in open_jobs if not job.lasting and not job.cancel_asked
+        open_jobs = [job for job in open_jobs if not job.long_running and not job.cancel_asked
                      and job.accepted_at is not None and not job.final]
     for job in open_jobs:
         ledger.breaks("LOST", f"{job.id}: accepted, and still {job.state} "
@@ -175,7 +180,7 @@
 
 
 def check_known(ledger, callers):
-    """Each accepted job is asked for once more."""
+    """Schedules one last state query for each accepted job."""
     callers.polling = False
     for job in ledger.all():
         if job.accepted_at is not None:
@@ -183,7 +188,7 @@
 
 
 def check_logs(cell, ledger):
-    """Each line of an instance's log is one whole event."""
+    """Checks that each line of every instance's log is a complete JSON event."""
     for name in cell.instances:
         for number, line in enumerate(cell.log(name).splitlines(), 1):
             try:
--- a/Tools/soak/ledger.py
+++ b/Tools/soak/ledger.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""What callers were told of each job, and which promises that breaks."""
+"""Records the replies that callers got for each job and checks them against the guarantees."""
 import collections
 import threading
 import time
@@ -8,7 +8,7 @@
 ACCEPTED, REFUSALS = range(200, 300), (429, 503)
 RANKS = {"queued": 0, "active": 1, "completed": 2, "failed": 2, "canceled": 2}
 FINAL_RANK = 2
-# An accepted job is known everywhere after that; a busy machine included.
+# Every instance must know an accepted job after this time, also on a busy machine.
 VISIBLE_SECONDS = 5.0
 
 
@@ -17,16 +17,16 @@
         self.id = f"{number:016x}"
         self.kind = kind
         self.body = body
-        self.plan = plan  # what its caller will do
-        self.tries = []  # statuses of calls that hand it in, in their order; 0: no answer
+        self.plan = plan  # what the caller does with the job
+        self.tries = []  # statuses of the submissions, in order; 0 means no reply
         self.accepted_at = None
         self.cancel_asked = False
         self.cancelled_at = None
         self.state = "queued"
-        self.lock = threading.Lock()  # one question for its state at a time
+        self.lock = threading.Lock()  # allows one state query at a time
 
     @property
-    def lasting(self):
+    def long_running(self):
         return any(step.get("long_running") for step in self.body["phases"])
 
     @property
@@ -35,7 +35,7 @@
 
     @property
     def crashing(self):
-        """A task of it crashes each worker that starts it."""
+        """Whether one of the job's tasks crashes each worker that starts the task."""
         return self.body["spec"] == "crashing"
 
     @property
@@ -43,12 +43,12 @@
         return RANKS[self.state] == FINAL_RANK
 
     def last_refused(self):
-        """Whether the last clear answer said that it never runs."""
+        """Whether the last submission was refused, which promises that the job never runs."""
         return bool(self.tries) and self.tries[-1] in REFUSALS
 
 
 class Ledger:
-    """All jobs of a run; its methods may be called by any thread."""
+    """All jobs of a run and the broken guarantees; methods may be called from any thread."""
 
     def __init__(self, began):
         self.began = began
@@ -86,25 +86,25 @@
             self.breaks("CONFIG", f"{job.id}: {instance} said {status} to a valid job")
 
     def shown(self, job, state, instance):
-        """The state that an instance told; returns the state before."""
+        """Records and checks the state that an instance reported; returns the previous state."""
         before, job.state = job.state, state
         if RANKS[state] < RANKS[before] or (RANKS[before] == FINAL_RANK and state != before):
             self.breaks("BACK", f"{job.id}: {before}, then {state} from {instance}")
         if state == "failed" and not job.flaky and not job.crashing:
             self.breaks("LOST", f"{job.id}: shown as failed by {instance}, and none of its tasks fail")
-        if state == "completed" and job.lasting:
+        if state == "completed" and job.long_running:
             self.breaks("LOST", f"{job.id}: shown as completed by {instance}, but it lasts")
         return before
 
     def unknown(self, job, instance, asked_at):
-        """An instance said that there is no such job."""
+        """Records LOST if the instance that reported no such job should know the job."""
         if (job.accepted_at is not None and asked_at > job.accepted_at + VISIBLE_SECONDS
                 and not job.cancel_asked):
             self.breaks("LOST", f"{job.id}: {instance} does not know it, "
                                 f"{asked_at - job.accepted_at:.1f} s after it was accepted")
 
     def check_refusals(self, started):
-        """`started`: ids of all jobs of which a task ever ran."""
+        """Records REFUSED for refused jobs that ran; `started`: ids of jobs that ran a task."""
         for job in self.all():
             if job.last_refused() and job.accepted_at is None and job.id in started:
                 self.breaks("REFUSED", f"{job.id}: it ran, and the last answer was a refusal "
--- a/Tools/soak/load.py
+++ b/Tools/soak/load.py
@@ -1,6 +1,6 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Draws the jobs of a run: when each is handed in, and what its caller does with it."""
+"""Draws the jobs of a run: when each is submitted, and what its caller does with it."""
 import json
 import random
 import zlib
@@ -11,16 +11,17 @@
 
 KINDS = {"preview": "page-preview", "rebuild": "site-rebuild", "watch": "live-watch"}
 MEMORY_MIB = 100
-# Of all workers' processors: what jobs may ask for on average, and what lasts in all.
-LOAD_SHARE, LASTING_SHARE = 0.45, 0.15
-# How much work comes at once where jobs have to wait, in seconds of all workers.
+# Shares of all workers' cores: the most that steady jobs use on average, and the total of
+# long-running tasks.
+LOAD_SHARE, LONG_RUNNING_SHARE = 0.45, 0.15
+# Work submitted at once when jobs are meant to queue, in seconds of all workers' cores.
 QUEUE_SECONDS = 10
 
 
 @dataclass
 class Plan:
-    """Seconds after its acceptance; None: not at all."""
-    at: float  # since the run's begin
+    """When a caller acts, in seconds after the job was accepted; None means never."""
+    at: float  # seconds after the start of the run
     again_after: Optional[float]
     cancel_after: Optional[float]
 
@@ -60,13 +61,16 @@
 
 
 class LoadPlan:
-    """`cores`: of all workers; `run_time`: how long tasks run, as a share of their estimates."""
+    """The jobs of a run, drawn for all workers' `cores`.
+
+    `run_time` is the tasks' run time as a fraction of their estimates.
+    """
 
     def __init__(self, seed, draw, seconds, cores, run_time):
         self.draw = draw
         self.first_number = (zlib.crc32(str(seed).encode()) << 32) + 1
         self.jobs = []
-        self.add_lasting(cores, seconds)
+        self.add_long_running(cores, seconds)
         self.run_time = run_time
         self.add_bursts(seconds, cores)
         self.add_steady(seconds, cores)
@@ -83,12 +87,12 @@
         number = self.first_number + len(self.jobs)
         self.jobs.append(Job(number, KINDS[kind], body, Plan(at, again, cancel_after)))
 
-    def add_lasting(self, cores, seconds):
-        left = cores * LASTING_SHARE
+    def add_long_running(self, cores, seconds):
+        left = cores * LONG_RUNNING_SHARE
         while left > 0:
             steps = watch(self.draw)
             left -= steps[0]["count"] * steps[0]["cpu"] / 1000
-            # Most stay to the end of the run.
+            # Most long-running jobs are not cancelled before the end of the run.
             cancel = self.draw.uniform(5, seconds) if self.draw.random() < 0.2 else seconds * 10
             self.add("watch", steps, self.draw.uniform(0, seconds * 0.4), cancel)
 
@@ -102,7 +106,7 @@
             self.add_queue(self.draw.uniform(2, seconds * 0.7), cores)
 
     def add_queue(self, at, cores):
-        """More at once than the cell has room for, so that jobs wait for seconds."""
+        """Adds more jobs at once than the cell has capacity for, so that jobs wait for seconds."""
         budget = cores * QUEUE_SECONDS * self.draw.uniform(0.5, 1.5)
         while budget > 0:
             steps = rebuild(self.draw)
@@ -118,7 +122,10 @@
             self.add(kind, steps, self.draw.uniform(0.5, seconds))
 
     def add_crashing(self, draw, seconds):
-        """Jobs whose first task crashes each worker that starts it; drawn apart from the others."""
+        """Adds jobs whose first task crashes each worker that starts the task.
+
+        These jobs are drawn from a random generator of their own.
+        """
         for _ in range(draw.choice([0, 0, 1, 2, 4])):
             steps = draw.choice([preview, rebuild, gang, watch])(draw)
             if draw.random() < 0.3 and not steps[0].get("gang"):
@@ -128,9 +135,9 @@
             plan = Plan(draw.uniform(1, seconds * 0.8), None, None)
             self.jobs.append(Job(number, KINDS["preview"], body, plan))
 
-    def told(self):
+    def describe(self):
         again = sum(job.plan.again_after is not None for job in self.jobs)
-        lasting = sum(job.lasting for job in self.jobs)
+        lasting = sum(job.long_running for job in self.jobs)
         text = json.dumps([[job.id, job.plan.at, job.body] for job in self.jobs])
         return (f"{len(self.jobs)} jobs, {lasting} that last, {again} sent again after their 2xx "
                 f"(digest {zlib.crc32(text.encode()):08x})")
--- a/Tools/soak/proxy.py
+++ b/Tools/soak/proxy.py
@@ -1,11 +1,12 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Loopback TCP proxies in a process of their own, with faults set line by line on its input.
+"""Loopback TCP proxies in a separate process that reads fault commands from its standard input.
 
-A line is JSON: {"route": NAME, "fault": FAULT, "ms": MS, "reach": "all" | "open" | "new"}. Faults:
-works, delay (each piece by MS), reset (at once), hold_up and hold_down (one way is cut: what is sent
-arrives when the cut is over, as TCP has it), silent (both). `open` concerns connections that are open
-now, for good; `new` those to come.
+Each line is JSON: {"route": NAME, "fault": FAULT, "ms": MS, "reach": "all" | "open" | "new"}. Faults:
+works (none), delay (delays each chunk by MS), reset (resets connections at once), hold_up and
+hold_down (one direction is interrupted: as with TCP, the data arrives when the fault ends), silent
+(both directions are interrupted). `open` applies to the connections that are open now, until they
+close; `new` to connections opened later.
 """
 import asyncio
 import json
@@ -16,14 +17,14 @@
 import threading
 
 PIECE = 65536
-# Closes with a reset: linger is on, for no time.
+# SO_LINGER enabled with a timeout of 0 s, so that closing the socket sends a reset.
 LINGER_NONE = struct.pack("ii", 1, 0)
 HELD = {"hold_up": {"up"}, "hold_down": {"down"}, "silent": {"up", "down"}}
 HELD_PERIOD = 0.05
 
 
 class Route:
-    """A proxy's address, with the fault that its connections meet."""
+    """The fault setting and the open connections of one proxy."""
 
     def __init__(self):
         self.fault, self.delay = "works", 0.0
@@ -31,11 +32,11 @@
 
 
 class Link:
-    """One connection through a proxy, with the fault it met."""
+    """One connection through a proxy, with the fault that was set for this connection alone."""
 
     def __init__(self, route):
         self.route = route
-        self.stuck = None  # a fault that holds for good
+        self.stuck = None  # a fault that stays until the connection closes
         self.writers = []
 
     def fault(self):
@@ -113,7 +114,7 @@
 
 
 class ProxyProcess:
-    """The proxies' process as the soak sees it; `routes`: name to (near port, far port)."""
+    """Starts and controls the proxy process; `routes` maps name to (listening port, target port)."""
 
     def __init__(self, group, routes):
         self.process = subprocess.Popen(
--- a/Tools/soak/troubles.py
+++ b/Tools/soak/troubles.py
@@ -1,21 +1,25 @@
 # SPDX-FileCopyrightText: 2026 yardhill contributors
 # SPDX-License-Identifier: Apache-2.0
-"""Troubles drawn from a seed: in waves, in series, over each other; then calm."""
+"""Troubles (injected faults) drawn from a seed, in waves of overlapping troubles and calm."""
 import random
 import threading
 import time
 
-# Entries of workers that are gone stay so long.
-ENTRY_LAPSE = 1.5
-# A worker that leaves says so this long before.
-LEAVE_NOTICE = 4.0
+# The longest time, in seconds, that the entry of a crashed worker remains registered.
+ENTRY_EXPIRY_SECONDS = 1.5
+# Seconds between a worker's announcement that it will leave and its leaving.
+LEAVE_NOTICE_SECONDS = 4.0
 STORE_FAULTS = ["unavailable", "silent", "loses_answers"]
 ROUTE_FAULTS = ["delay", "reset", "hold_up", "hold_down", "silent"]
 JOB_PARTS = 32
 
 
 class Troubles:
-    """`size`: how many things one trouble concerns at most; `density`: troubles a second in a wave."""
+    """Draws and plays the troubles of a run.
+
+    `size` is the most instances that a series of stops affects; `density` is the range of troubles
+    per second within a wave.
+    """
 
     def __init__(self, cell, ledger, seed, size, density):
         self.cell = cell
@@ -25,15 +29,15 @@
         self.density = density
         self.draw = random.Random(f"{seed}/troubles")
         self.lock = threading.Lock()
-        self.under_way = 0
+        self.active_count = 0
         self.last_end = time.monotonic()
-        self.told = []
+        self.event_lines = []
         self.threads = []
         self.failures = []
         self.healing = threading.Event()
 
     def schedule(self, seconds):
-        """[(at, kind, number)]: waves of troubles with calm between them."""
+        """Returns [(at, kind, number)]: waves of troubles with calm between them."""
         kinds = [name for name, weight in KINDS for _ in range(weight)]
         drawn, at = [], self.draw.uniform(2, 4)
         while at < seconds - 4:
@@ -44,7 +48,8 @@
                 drawn.append((at + self.draw.uniform(0, wave), kind))
             at += wave + self.draw.choice([3, 6, 14, 16])
         drawn.sort()
-        # Last, since the others' numbers are what their luck follows from.
+        # Appended last: a trouble's number seeds its random draws, so the numbers of the others must
+        # not change.
         drawn += self.rooms(seconds) + self.restarts(seconds)
         return sorted((when, kind, number) for number, (when, kind) in enumerate(drawn))
 
@@ -59,34 +64,35 @@
     def play(self, began, drawn):
         for at, kind, number in drawn:
             time.sleep(max(0.0, began + at - time.monotonic()))
-            thread = threading.Thread(target=self.befall, args=(began, kind, number), daemon=True)
+            thread = threading.Thread(target=self.run_trouble, args=(began, kind, number),
+                                      daemon=True)
             thread.start()
             self.threads.append(thread)
 
-    def befall(self, began, kind, number):
+    def run_trouble(self, began, kind, number):
         with self.lock:
-            self.under_way += 1
+            self.active_count += 1
         try:
             draw = random.Random(f"{self.seed}/{number}")
             getattr(self, kind)(draw, lambda what: self.note(began, f"{kind}: {what}"))
-        except Exception as error:  # a fault of the soak itself: the run says so
+        except Exception as error:  # a fault of the soak itself, which the run reports
             self.failures.append(f"{kind}: {error!r}")
             raise
         finally:
             with self.lock:
-                self.under_way -= 1
+                self.active_count -= 1
                 self.last_end = time.monotonic()
 
     def note(self, began, what):
-        self.told.append(f"{time.monotonic() - began:7.2f} s  {what}")
+        self.event_lines.append(f"{time.monotonic() - began:7.2f} s  {what}")
 
     def quiet_since(self):
-        """When the latest trouble ended; None while one is under way."""
+        """Returns when the latest trouble ended, or None while one is in progress."""
         with self.lock:
-            return None if self.under_way else self.last_end
+            return None if self.active_count else self.last_end
 
     def heal(self):
-        """Waits for what is under way, then mends everything."""
+        """Waits for the current troubles, then removes all faults and starts stopped instances."""
         self.healing.set()
         for thread in self.threads:
             thread.join()
@@ -101,14 +107,14 @@
         self.last_end = time.monotonic()
 
     def pause(self, seconds):
-        """Shorter once the run is over."""
+        """Sleeps for the given time, or until the run is over if that is sooner."""
         self.healing.wait(seconds)
 
     def names(self, draw, most):
         names = list(self.cell.instances)
         return draw.sample(names, draw.randint(1, min(most, len(names))))
 
-    def come_back(self, name, after):
+    def restart_after(self, name, after):
         self.pause(after)
         with self.cell.lock:
             if not self.cell.lives(name):
@@ -130,9 +136,9 @@
         mistake = self.cell.wait_stopped(name)
         if mistake is not None and not self.cell.disturbed_since(name, asked):
             self.ledger.breaks("STOP", f"{name}: {mistake}")
-        if not self.cell.records[name].should_live:  # not started again by another trouble
+        if not self.cell.records[name].should_live:  # no other trouble restarted it
             self.cell.kill_instance(name)
-        self.come_back(name, down)
+        self.restart_after(name, down)
 
     def stop_series(self, draw, note):
         gap = draw.choice([0.05, 0.3, 0.8, 2.0])
@@ -147,7 +153,7 @@
             thread.join()
 
     def stop_owners(self, draw, note):
-        """Each owner as soon as it is seen."""
+        """Stops each owner as soon as it is found."""
         turns = draw.randint(2, 6)
         note(f"{turns} in a row")
         threads = []
@@ -167,7 +173,7 @@
         for _ in range(turns):
             owner = self.cell.owner()
             if owner is not None and self.cell.kill_instance(owner):
-                self.come_back(owner, draw.uniform(0.05, 1.0))
+                self.restart_after(owner, draw.uniform(0.05, 1.0))
             self.pause(gap)
 
     def kill_several(self, draw, note):
@@ -176,13 +182,13 @@
         note(f"{len(names)} of {len(self.cell.instances)} at once")
         for name in names:
             self.cell.kill_instance(name)
-        self.together(lambda name: self.come_back(name, down[name]), names)
+        self.together(lambda name: self.restart_after(name, down[name]), names)
 
     def kill_all(self, draw, note):
         note("all at once")
         for name in self.cell.instances:
             self.cell.kill_instance(name)
-        self.together(lambda name: self.come_back(name, draw.uniform(0.0, 1.0)),
+        self.together(lambda name: self.restart_after(name, draw.uniform(0.0, 1.0)),
                       list(self.cell.instances))
 
     def freeze(self, draw, note):
@@ -197,7 +203,7 @@
             self.cell.freeze(name, False)
 
     def hang_up(self, draw, note):
-        """SIGHUP, with settings as they were."""
+        """Sends SIGHUP with unchanged settings."""
         times = draw.randint(1, 8)
         note(f"{times} times")
         for _ in range(times):
@@ -281,63 +287,63 @@
         return draw.sample(range(self.cell.workers),
                            draw.randint(1, max(1, int(self.cell.workers * share))))
 
-    def befall_workers(self, numbers, what):
+    def control_workers(self, numbers, what):
         for number in numbers:
             self.cell.admin("POST", f"/workers/{number}/{what}")
 
     def workers_crash(self, draw, note):
         numbers, replaced = self.workers(draw), draw.random() < 0.7
         note(f"{len(numbers)} workers, {'replaced' if replaced else 'for good'}")
-        self.befall_workers(numbers, "crash")
-        self.pause(draw.uniform(0.1, ENTRY_LAPSE))
-        self.befall_workers(numbers, "leave")
+        self.control_workers(numbers, "crash")
+        self.pause(draw.uniform(0.1, ENTRY_EXPIRY_SECONDS))
+        self.control_workers(numbers, "leave")
         if replaced:
             self.pause(draw.uniform(0.1, 2.0))
-            self.befall_workers(numbers, "replace")
+            self.control_workers(numbers, "replace")
 
     def workers_restart(self, draw, note):
-        """Under their ids, some of them twice in a row; a new clock is behind or ahead of the old."""
+        """Restarts workers under the same ids, at times twice; a new clock is behind or ahead."""
         numbers, times = self.workers(draw, 0.4), draw.choice([1, 1, 2])
         note(f"{len(numbers)} workers, {times} times")
         for _ in range(times):
-            self.befall_workers(numbers, "crash")
+            self.control_workers(numbers, "crash")
             self.pause(draw.uniform(0.1, 3.0))
-            self.befall_workers(numbers, f"restart/{draw.choice([0, 0, 10 ** 9])}")
+            self.control_workers(numbers, f"restart/{draw.choice([0, 0, 10 ** 9])}")
             self.pause(draw.uniform(0.2, 2.0))
 
     def workers_leave(self, draw, note):
         numbers = self.workers(draw)
         note(f"{len(numbers)} workers")
-        self.befall_workers(numbers, "drain")
-        self.pause(LEAVE_NOTICE)
-        self.befall_workers(numbers, "leave")
+        self.control_workers(numbers, "drain")
+        self.pause(LEAVE_NOTICE_SECONDS)
+        self.control_workers(numbers, "leave")
         self.pause(draw.uniform(0.1, 1.0))
-        self.befall_workers(numbers, "replace")
+        self.control_workers(numbers, "replace")
 
     def workers_silent(self, draw, note):
         numbers, seconds = self.workers(draw, 0.3), draw.choice([0.4, 1.5, 5.0])
         note(f"{len(numbers)} workers for {seconds} s")
-        self.befall_workers(numbers, "silence")
+        self.control_workers(numbers, "silence")
         self.pause(seconds)
-        self.befall_workers(numbers, "speak")
+        self.control_workers(numbers, "speak")
 
     def workers_late(self, draw, note):
         numbers, late = self.workers(draw, 0.3), draw.choice([100, 600, 2000])
         note(f"{len(numbers)} workers carry orders out {late} ms late for 4 s")
-        self.befall_workers(numbers, f"late/{late}")
+        self.control_workers(numbers, f"late/{late}")
         self.pause(4.0)
-        self.befall_workers(numbers, "late/0")
+        self.control_workers(numbers, "late/0")
 
     def rooms_shrink(self, draw, note):
         numbers, left = self.workers(draw, 0.3), draw.choice([0, 25, 50, 75])
         seconds = draw.choice([0.5, 3.0, 8.0])
         note(f"{len(numbers)} workers have {left} % of their room for {seconds} s")
-        self.befall_workers(numbers, f"room/{left}")
+        self.control_workers(numbers, f"room/{left}")
         self.pause(seconds)
-        self.befall_workers(numbers, "room/100")
+        self.control_workers(numbers, "room/100")
 
 
-# With how often each is drawn.
+# (kind, weight of the kind in the draw)
 KINDS = [("stop_series", 4), ("stop_owners", 3), ("kill_owners", 4), ("kill_several", 2),
          ("kill_all", 1), ("freeze", 3), ("hang_up", 2), ("configurations", 2), ("store_away", 2),
          ("store_slow", 2), ("store_limited", 2), ("store_parts", 1), ("store_forgets", 1),
