--- a/Source/UnitTests/Golden/platform_golden.py
+++ b/Source/UnitTests/Golden/platform_golden.py
@@ -51,9 +51,9 @@
                              host=kind_of(cell, kind)["host"])
     if status != 200:
         return None
-    told = json.loads(answer)["state"]
-    cell.admin("POST", f"/jobs/{job}/states/{told.replace('canceled', 'cancelled')}")
-    return told
+    reported = json.loads(answer)["state"]
+    cell.admin("POST", f"/jobs/{job}/states/{reported.replace('canceled', 'cancelled')}")
+    return reported
 
 
 def wait_state(session, cell, instance, kind, job, wanted):
--- a/Tools/cluster/platform_demo.py
+++ b/Tools/cluster/platform_demo.py
@@ -58,12 +58,12 @@
             (14, silence_store), (15.5, restore_store), (19, stop_owner)]
 
 
-def run_troubles(cell, began, told):
+def run_troubles(cell, began, events):
     for at, trouble in TROUBLES:
         time.sleep(max(0.0, began + at - time.monotonic()))
         what = trouble(cell)
-        told.append((time.monotonic() - began, what))
-        print(f"  {told[-1][0]:5.1f} s  {what}", flush=True)
+        events.append((time.monotonic() - began, what))
+        print(f"  {events[-1][0]:5.1f} s  {what}", flush=True)
 
 
 def register(cell, seconds):
@@ -92,9 +92,9 @@
         cell.start()
         jobs = register(cell, SECONDS)
         print(f"{jobs} jobs in {SECONDS} s")
-        told = []
+        events = []
         began = time.monotonic()
-        troubles = threading.Thread(target=run_troubles, args=(cell, began, told), daemon=True)
+        troubles = threading.Thread(target=run_troubles, args=(cell, began, events), daemon=True)
         troubles.start()
         arguments = ["job", "load", "--to", cell.addresses(), "--yard", cell.yard_file,
                      "--seconds", SECONDS]
@@ -108,7 +108,7 @@
         if result.returncode != 0:
             print("not every job was served; " + result.stderr[-500:])
     if each:
-        marks = [f"{at:.1f}={what}" for at, what in told]
+        marks = [f"{at:.1f}={what}" for at, what in events]
         subprocess.run([ROOT / "Tools/plot-load", each, each + ".svg", *marks], check=True)
         print(f"drawn: {each}.svg")
     right = result.returncode == 0 and not violations
--- a/Tools/soak/checks.py
+++ b/Tools/soak/checks.py
@@ -149,7 +149,7 @@
 
 
 def settle(cell, ledger, callers):
-    """Checks, after all faults were removed, that accepted jobs end or can be cancelled."""
+    """Checks, after all faults were removed, that every accepted job ends or can be cancelled."""
     # Waits long enough for long-running tasks to be checked in calm.
     least = time.monotonic() + LONG_RUNNING_CALM_SECONDS + SETTLE_LEAST
     until = time.monotonic() + SETTLE_SECONDS
