--- a/Source/Yardhill/Check.cpp
+++ b/Source/Yardhill/Check.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill check: settings and workload files, checked whole.
+// yardhill check: validates settings and workload files and reports all mistakes in one run.
 
 #include <array>
 #include <cstdio>
@@ -55,22 +55,23 @@
   common::parse_instance_settings(file.text, file.file, problems);
 }
 
-// A section that tells what a file is; null: it is part of the declared set.
-constexpr std::array<std::pair<const char*, file_checker>, 5> k_sections{
+// Top-level sections by which a file's type is recognized, with the checker for that type. Files
+// with a null checker declare the cell and are checked together as one set.
+constexpr std::array<std::pair<const char*, file_checker>, 5> k_checkers_by_section{
     {{"cell", nullptr},
      {"teams", nullptr},
      {"workloads", nullptr},
      {"kinds", check_yard},
      {"callers_address", check_platform_settings}}};
 
-// Adds the file to the set, or checks it by itself.
+// Adds a file that declares the cell to `set`; checks any other file on its own.
 void check_file(const common::named_text& file, std::vector<common::named_text>& set,
                 common::problem_list& problems)
 {
   const auto document = common::parse_with_comments(file.text, file.file, problems);
   if (!document)
     return;
-  for (const auto& [section, checker] : k_sections)
+  for (const auto& [section, checker] : k_checkers_by_section)
   {
     if (!document->is_object() || !document->contains(section))
       continue;
@@ -95,9 +96,9 @@
 }
 } // namespace
 
-int check(const arguments& given)
+int check(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_usage, given, true);
+  const auto parsed = docopt::docopt(k_usage, args, true);
   common::problem_list problems;
   std::vector<common::named_text> set;
   for (const common::named_text& file : read_files(parsed.at("<file>").asStringList()))
--- a/Source/Yardhill/Config.cpp
+++ b/Source/Yardhill/Config.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill apply, diff and config: the declared state of the cell.
+// yardhill apply, diff and config: change, compare and show the cell's declared configuration.
 
 #include <cstdio>
 #include <random>
@@ -56,8 +56,10 @@
 constexpr const char* k_drained = "drained";
 constexpr std::size_t k_id_digits = 16;
 
-// The files as one document. Workers that were drained by command stay so unless the files say.
-std::string document_of(const std::vector<common::named_text>& files, const json& in_force)
+// Merges the files into one document. The list of drained workers is taken over from the
+// configuration in force unless the files have their own, so that workers drained by command stay
+// drained.
+std::string merged_document(const std::vector<common::named_text>& files, const json& in_force)
 {
   json document = json::parse(common::merge_documents(files));
   const json current = json::parse(in_force.value("document", ""), nullptr, false);
@@ -66,7 +68,7 @@
   return document.dump();
 }
 
-bool checks_out(const std::vector<common::named_text>& files)
+bool validate_files(const std::vector<common::named_text>& files)
 {
   common::problem_list problems;
   if (common::parse_cell_config(files, problems))
@@ -115,11 +117,11 @@
   return answer.status == invalid ? k_wrong_usage : k_unreachable;
 }
 
-int apply(const arguments& given)
+int apply(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_apply_usage, given, true);
+  const auto parsed = docopt::docopt(k_apply_usage, args, true);
   const auto files = read_files(parsed.at("<file>").asStringList());
-  if (!checks_out(files))
+  if (!validate_files(files))
     return k_wrong_usage;
   instance_client client(parsed.at("--url").asString());
   const json in_force = fetch_config(client);
@@ -128,28 +130,28 @@
     base = std::stoull(parsed.at("--base").asString());
   const std::string apply_id =
       parsed.at("--apply-id") ? parsed.at("--apply-id").asString() : new_apply_id();
-  return put_config(client, base, apply_id, document_of(files, in_force),
+  return put_config(client, base, apply_id, merged_document(files, in_force),
                     parsed.at("--json").asBool());
 }
 
-int diff(const arguments& given)
+int diff(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_diff_usage, given, true);
+  const auto parsed = docopt::docopt(k_diff_usage, args, true);
   const auto files = read_files(parsed.at("<file>").asStringList());
-  if (!checks_out(files))
+  if (!validate_files(files))
     return k_wrong_usage;
   instance_client client(parsed.at("--url").asString());
   const json in_force = fetch_config(client);
   const std::vector<std::string> fields =
-      common::differing_fields(in_force.value("document", ""), document_of(files, in_force));
+      common::differing_fields(in_force.value("document", ""), merged_document(files, in_force));
   for (const std::string& field : fields)
     std::printf("%s\n", field.c_str());
   return fields.empty() ? k_done : k_refused;
 }
 
-int config(const arguments& given)
+int config(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_config_usage, given, true);
+  const auto parsed = docopt::docopt(k_config_usage, args, true);
   instance_client client(parsed.at("--url").asString());
   const json in_force = fetch_config(client);
   if (parsed.at("--version-only").asBool())
--- a/Source/Yardhill/Drain.cpp
+++ b/Source/Yardhill/Drain.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill drain: planned stops.
+// yardhill drain: stops an instance as planned, or takes a worker out of use.
 
 #include <algorithm>
 #include <cstdio>
@@ -39,19 +39,19 @@
   json& drained = document["drained"];
   if (!drained.is_array())
     drained = json::array();
-  const auto known = std::find(drained.begin(), drained.end(), json(worker));
-  if (undo && known != drained.end())
-    drained.erase(known);
-  else if (!undo && known == drained.end())
+  const auto entry = std::find(drained.begin(), drained.end(), json(worker));
+  if (undo && entry != drained.end())
+    drained.erase(entry);
+  else if (!undo && entry == drained.end())
     drained.push_back(worker);
   return put_config(client, in_force.at("version").get<std::uint64_t>(), new_apply_id(),
                     document.dump(), false);
 }
 } // namespace
 
-int drain(const arguments& given)
+int drain(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_usage, given, true);
+  const auto parsed = docopt::docopt(k_usage, args, true);
   instance_client client(parsed.at("--url").asString());
   if (parsed.at("worker").asBool())
     return drain_worker(client, parsed.at("<worker>").asString(), parsed.at("--undo").asBool());
--- a/Source/Yardhill/Explain.cpp
+++ b/Source/Yardhill/Explain.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill explain: what became of a request, out of the instances' logs.
+// yardhill explain: reports the outcome of a request and its cause from the instances' logs.
 
 #include <cstdio>
 #include <sstream>
@@ -29,9 +29,9 @@
 )";
 } // namespace
 
-int explain(const arguments& given)
+int explain(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_usage, given, true);
+  const auto parsed = docopt::docopt(k_usage, args, true);
   std::vector<explain::log_line> log;
   for (const common::named_text& file : read_files(parsed.at("<file>").asStringList()))
   {
@@ -42,8 +42,8 @@
         log.push_back(*std::move(line));
     }
   }
-  const auto told = explain::explain(parsed.at("<id>").asString(), log);
-  std::fputs(explain::to_text(told).c_str(), stdout);
-  return told.lines.empty() ? k_refused : k_done;
+  const auto explanation = explain::explain(parsed.at("<id>").asString(), log);
+  std::fputs(explain::to_text(explanation).c_str(), stdout);
+  return explanation.lines.empty() ? k_refused : k_done;
 }
 } // namespace yardhill::cli
--- a/Source/Yardhill/Files.h
+++ b/Source/Yardhill/Files.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Reading the files that a subcommand is given.
+// Reads the files named on a subcommand's command line and prints the mistakes found in them.
 
 #include <string>
 #include <vector>
@@ -14,10 +14,12 @@
 
 namespace yardhill::cli
 {
+// The file's contents, or an error if it cannot be read.
 common::result<common::named_text> load_file(const std::string& path);
-// The same for a command's arguments: throws std::runtime_error with step and file.
+// The file's contents. Throws std::runtime_error, naming step and file, if it cannot be read.
 common::named_text read_file(const std::string& path);
+// Reads each file with read_file().
 std::vector<common::named_text> read_files(const std::vector<std::string>& paths);
-// One line each on standard error.
+// Prints each problem as one line on standard error.
 void print_problems(const common::problem_list& problems);
 } // namespace yardhill::cli
--- a/Source/Yardhill/Instance.cpp
+++ b/Source/Yardhill/Instance.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill instance: an instance on the platform.
+// yardhill instance: runs an instance on the platform.
 
 #include <cstdio>
 #include <cstdlib>
@@ -30,8 +30,9 @@
                    the variable YARDHILL_BOOT names.
 )";
 
-// Different at each start of a process, so that a restarted instance is a new holder.
-std::string new_life()
+// A random identifier of this run of the process. It differs at each start, so that a restarted
+// instance counts as a new holder.
+std::string new_incarnation()
 {
   std::random_device device;
   char text[17];
@@ -41,8 +42,8 @@
 
 std::string settings_path(const std::map<std::string, docopt::value>& parsed)
 {
-  if (const auto& given = parsed.at("--settings"))
-    return given.asString();
+  if (const auto& option = parsed.at("--settings"))
+    return option.asString();
   const char* const path = std::getenv("YARDHILL_BOOT");
   if (path == nullptr)
     throw std::runtime_error("neither --settings nor YARDHILL_BOOT names a settings file");
@@ -59,15 +60,15 @@
 }
 } // namespace
 
-int instance(const arguments& given)
+int instance(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_usage, given, true);
+  const auto parsed = docopt::docopt(k_usage, args, true);
   const std::string path = settings_path(parsed);
   const auto settings = read_settings(path);
   if (!settings)
     return k_wrong_usage;
   common::open_event_log(settings->name);
-  node::node_service service(*settings, new_life(), [path] { return read_settings(path); });
+  node::node_service service(*settings, new_incarnation(), [path] { return read_settings(path); });
   service.run();
   return k_done;
 }
--- a/Source/Yardhill/InstanceClient.cpp
+++ b/Source/Yardhill/InstanceClient.cpp
@@ -10,12 +10,12 @@
 {
 namespace
 {
-// As long as an instance may let a caller wait.
-constexpr std::chrono::minutes k_timeout{11};
+// No shorter than the longest time for which an instance may keep a caller waiting.
+constexpr std::chrono::minutes k_request_timeout{11};
 } // namespace
 
 instance_client::instance_client(const std::string& url)
-    : m_url(url), m_client(url, common::client_config(k_timeout))
+    : m_url(url), m_client(url, common::client_config(k_request_timeout))
 {
 }
 
--- a/Source/Yardhill/InstanceClient.h
+++ b/Source/Yardhill/InstanceClient.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What the subcommands ask of an instance over HTTP.
+// The HTTP client with which the subcommands call an instance.
 
 #include <cstdint>
 #include <map>
@@ -16,6 +16,7 @@
 
 namespace yardhill::cli
 {
+// Status, body and headers are set only if `reached`.
 struct instance_answer
 {
   bool reached = false;
@@ -32,7 +33,8 @@
   explicit instance_client(const std::string& url);
   ~instance_client();
 
-  // Waits for the answer. An instance that cannot be reached is reported on standard error.
+  // Sends a request and blocks until the answer or a timeout. A failed call is reported on standard
+  // error and returned with `reached` false. A body is sent as application/json.
   instance_answer call(const web::http::method& method, const std::string& path,
                        const std::string& body = {});
 
@@ -41,6 +43,7 @@
   web::http::client::http_client m_client;
 };
 
-// The configuration in force: {"version": n, "document": text}. Throws std::runtime_error.
+// The configuration in force: {"version": n, "document": text}. Throws std::runtime_error if the
+// instance does not answer with status 200.
 nlohmann::json fetch_config(instance_client& client);
 } // namespace yardhill::cli
--- a/Source/Yardhill/Job.cpp
+++ b/Source/Yardhill/Job.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill job: a caller of instances on the platform. Single jobs of a yard's kinds, and loads of
-// many.
+// yardhill job: calls instances on the platform, either for a single job of one of a yard's kinds
+// or to generate the load of a whole yard.
 
 #include <cstdio>
 #include <fstream>
@@ -52,13 +52,14 @@
 Exit codes: 0 done, every job served; 1 refused, no such job, some not served; 3 no answer.
 )";
 
-// Each caller's calls to one instance at a time.
+// Limits on the calls that are in flight to one instance, on the calls queued for it, and on the
+// bytes of an answer.
 constexpr http::client_options k_connections{32, 20000, std::size_t{1} << 20U};
-constexpr common::duration k_patience = std::chrono::seconds{3};
+constexpr common::duration k_request_timeout = std::chrono::seconds{3};
 
 using parsed_arguments = std::map<std::string, docopt::value>;
 
-std::vector<common::endpoint> addresses_in(const parsed_arguments& parsed)
+std::vector<common::endpoint> parse_addresses(const parsed_arguments& parsed)
 {
   std::vector<common::endpoint> addresses;
   std::istringstream words(parsed.at("--to").asString());
@@ -72,7 +73,7 @@
   return addresses;
 }
 
-load::yard yard_in(const parsed_arguments& parsed)
+load::yard read_yard(const parsed_arguments& parsed)
 {
   const common::named_text file = read_file(parsed.at("--yard").asString());
   common::problem_list problems;
@@ -83,28 +84,28 @@
   return *std::move(yard);
 }
 
-const load::job_kind& kind_in(const parsed_arguments& parsed, const load::yard& yard)
+const load::job_kind& find_kind(const parsed_arguments& parsed, const load::yard& yard)
 {
   const std::string name = parsed.at("--kind").asString();
-  for (const load::job_kind& each : yard.kinds)
+  for (const load::job_kind& kind : yard.kinds)
   {
-    if (each.name == name)
-      return each;
+    if (kind.name == name)
+      return kind;
   }
   throw std::runtime_error("--kind: the yard has no kind \"" + name + "\"");
 }
 
-std::string id_in(const parsed_arguments& parsed)
+std::string given_or_new_id(const parsed_arguments& parsed)
 {
-  if (const auto& given = parsed.at("--id"))
-    return given.asString();
+  if (const auto& option = parsed.at("--id"))
+    return option.asString();
   std::random_device device;
   char text[17];
   std::snprintf(text, sizeof text, "%08x%08x", device(), device());
   return text;
 }
 
-std::vector<load::planned_job> plan_in(const parsed_arguments& parsed, const load::yard& yard)
+std::vector<load::planned_job> make_plan(const parsed_arguments& parsed, const load::yard& yard)
 {
   load::load_options options;
   options.length = std::chrono::duration_cast<common::duration>(
@@ -114,7 +115,7 @@
   return load::plan_load(yard, options);
 }
 
-jobs::job_spec spec_of(const parsed_arguments& parsed, const load::job_kind& kind)
+jobs::job_spec make_job_spec(const parsed_arguments& parsed, const load::job_kind& kind)
 {
   jobs::job_spec spec;
   const auto& payload = parsed.at("--payload");
@@ -141,67 +142,67 @@
 
 int call_once(const parsed_arguments& parsed)
 {
-  const load::yard yard = yard_in(parsed);
-  const load::job_kind& kind = kind_in(parsed, yard);
-  const common::endpoint to = addresses_in(parsed).front();
-  const std::string id = parsed.at("pending").asBool() ? std::string() : id_in(parsed);
+  const load::yard yard = read_yard(parsed);
+  const load::job_kind& kind = find_kind(parsed, yard);
+  const common::endpoint to = parse_addresses(parsed).front();
+  const std::string id = parsed.at("pending").asBool() ? std::string() : given_or_new_id(parsed);
   boost::asio::io_context io(1);
   http::http_client http(io, k_connections);
   adapter::caller_client caller(http);
   adapter::caller_answer answer;
-  const auto take = [&answer](const adapter::caller_answer& given) { answer = given; };
+  const auto on_answer = [&answer](const adapter::caller_answer& received) { answer = received; };
   if (parsed.at("submit").asBool())
-    caller.submit(to, kind.queue, id, spec_of(parsed, kind), k_patience, take);
+    caller.submit(to, kind.queue, id, make_job_spec(parsed, kind), k_request_timeout, on_answer);
   else if (parsed.at("status").asBool())
-    caller.ask(to, kind.queue, id, k_patience, take);
+    caller.ask(to, kind.queue, id, k_request_timeout, on_answer);
   else if (parsed.at("cancel").asBool())
-    caller.cancel(to, kind.queue, id, k_patience, take);
+    caller.cancel(to, kind.queue, id, k_request_timeout, on_answer);
   else
-    caller.count(to, kind.queue, k_patience, take);
+    caller.count(to, kind.queue, k_request_timeout, on_answer);
   io.run();
   return print_answer(id, answer);
 }
 
-int play_load(const parsed_arguments& parsed)
+int run_load(const parsed_arguments& parsed)
 {
-  const load::yard yard = yard_in(parsed);
-  const std::vector<load::planned_job> plan = plan_in(parsed, yard);
+  const load::yard yard = read_yard(parsed);
+  const std::vector<load::planned_job> plan = make_plan(parsed, yard);
   boost::asio::io_context io(1);
   node::asio_timekeeper time(io);
   http::http_client http(io, k_connections);
   adapter::caller_client caller(http);
-  load::load_runner runner(time, caller, yard, addresses_in(parsed), {});
+  load::load_runner runner(time, caller, yard, parse_addresses(parsed), {});
   runner.play(plan, [&io] { io.stop(); });
   io.run();
   const auto reports = load::report_by_kind(yard, runner.jobs());
   std::fputs(parsed.at("--json").asBool() ? (load::to_json(reports) + "\n").c_str()
                                           : load::to_table(reports).c_str(),
              stdout);
-  if (const auto& each = parsed.at("--each"))
+  if (const auto& path = parsed.at("--each"))
   {
-    std::ofstream file(each.asString());
+    std::ofstream file(path.asString());
     for (const load::played_job& job : runner.jobs())
       file << load::to_line(yard, job) << "\n";
     if (!file.flush())
-      throw std::runtime_error("cannot write " + each.asString());
+      throw std::runtime_error("cannot write " + path.asString());
   }
   return load::all_served(reports) ? k_done : k_refused;
 }
 
 int print_plan(const parsed_arguments& parsed)
 {
-  const load::yard yard = yard_in(parsed);
-  for (const load::planned_job& job : plan_in(parsed, yard))
+  const load::yard yard = read_yard(parsed);
+  for (const load::planned_job& job : make_plan(parsed, yard))
     std::printf("%s\n", load::to_line(yard, job).c_str());
   return k_done;
 }
 } // namespace
 
-int job(const arguments& given)
+int job(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_usage, given, true);
+  const auto parsed = docopt::docopt(k_usage, args, true);
   if (parsed.at("load").asBool())
-    return play_load(parsed);
+    return run_load(parsed);
   if (parsed.at("plan").asBool())
     return print_plan(parsed);
   return call_once(parsed);
--- a/Source/Yardhill/Load.cpp
+++ b/Source/Yardhill/Load.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill load: many tasks through all instances, each answer checked byte for byte.
+// yardhill load: sends many tasks through all given instances and checks each answer byte for byte.
 
 #include <algorithm>
 #include <atomic>
@@ -87,7 +87,7 @@
   return replay::result_of(run);
 }
 
-// The outcome as the answer's header names it; cut_off when there was none.
+// The outcome named in the answer's Yardhill-Outcome header; "cut_off" if the header is missing.
 std::string outcome_of(const instance_answer& answer)
 {
   const auto header = answer.headers.find("Yardhill-Outcome");
@@ -101,7 +101,7 @@
   json request{{"workload", plan.workload}, {"payload", payload}};
   if (!plan.key_prefix.empty())
     request["key"] = plan.key_prefix + "-" + std::to_string(index);
-  const auto began = clock::now();
+  const auto started_at = clock::now();
   instance_answer answer;
   std::size_t tries = 0;
   for (; tries <= plan.retries; ++tries)
@@ -114,8 +114,9 @@
     if (outcome == "done" || outcome == "failed")
       break;
   }
-  const auto took = std::chrono::duration_cast<std::chrono::microseconds>(clock::now() - began);
-  const std::lock_guard hold(result.lock);
+  const auto elapsed =
+      std::chrono::duration_cast<std::chrono::microseconds>(clock::now() - started_at);
+  const std::lock_guard guard(result.lock);
   result.retried += std::min(tries, plan.retries);
   const std::string outcome = outcome_of(answer);
   ++result.outcomes[outcome];
@@ -127,15 +128,15 @@
   }
   if (answer.body != expected_result(plan, payload))
     ++result.wrong_bytes;
-  result.waits_us.push_back(took.count() - std::stoll(answer.headers["Yardhill-Ran-Us"]));
+  result.waits_us.push_back(elapsed.count() - std::stoll(answer.headers["Yardhill-Ran-Us"]));
 }
 
 void run_load(const load_plan& plan, load_result& result)
 {
-  constexpr std::size_t most_threads = 64;
+  constexpr std::size_t max_threads = 64;
   std::atomic<std::size_t> next = 0;
-  const auto began = clock::now();
-  const auto work = [&]
+  const auto started_at = clock::now();
+  const auto send_tasks = [&]
   {
     std::vector<std::unique_ptr<instance_client>> clients;
     for (const std::string& url : plan.urls)
@@ -143,13 +144,13 @@
     for (std::size_t index = next++; index < plan.count; index = next++)
     {
       const std::chrono::duration<double> due{static_cast<double>(index) / plan.rate};
-      std::this_thread::sleep_until(began + std::chrono::duration_cast<clock::duration>(due));
+      std::this_thread::sleep_until(started_at + std::chrono::duration_cast<clock::duration>(due));
       send_one(plan, clients, index, result);
     }
   };
   std::vector<std::thread> threads;
-  for (std::size_t thread = 0; thread < std::min(most_threads, plan.count); ++thread)
-    threads.emplace_back(work);
+  for (std::size_t thread = 0; thread < std::min(max_threads, plan.count); ++thread)
+    threads.emplace_back(send_tasks);
   for (std::thread& thread : threads)
     thread.join();
 }
@@ -191,9 +192,9 @@
 }
 } // namespace
 
-int load(const arguments& given)
+int load(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_usage, given, true);
+  const auto parsed = docopt::docopt(k_usage, args, true);
   constexpr std::size_t library_threads = 4;
   crossplat::threadpool::initialize_with_threads(library_threads);
   const load_plan plan = read_plan(parsed);
@@ -212,7 +213,7 @@
     std::printf("%s\n", figures.dump().c_str());
   else
     std::printf("%s\n", figures.dump(2).c_str());
-  const bool all_right = result.wrong_bytes == 0 && result.waits_us.size() == plan.count;
-  return all_right ? k_done : k_refused;
+  const bool all_correct = result.wrong_bytes == 0 && result.waits_us.size() == plan.count;
+  return all_correct ? k_done : k_refused;
 }
 } // namespace yardhill::cli
--- a/Source/Yardhill/Main.cpp
+++ b/Source/Yardhill/Main.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The one binary: finds the subcommand and runs it.
+// Entry point of the yardhill program: dispatches to the subcommand named on the command line.
 
 #include <array>
 #include <cstdio>
@@ -73,10 +73,10 @@
     const std::vector<std::string> arguments(argv + 1, argv + argc);
     const auto parsed = docopt::docopt(k_usage, arguments, true, "yardhill 0.1.0", true);
     const std::string name = parsed.at("<command>").asString();
-    for (const subcommand& each : k_subcommands)
+    for (const subcommand& candidate : k_subcommands)
     {
-      if (name == each.name)
-        return each.run(arguments);
+      if (name == candidate.name)
+        return candidate.run(arguments);
     }
     std::fprintf(stderr, "yardhill: there is no command \"%s\"; see yardhill --help\n",
                  name.c_str());
--- a/Source/Yardhill/Replay.cpp
+++ b/Source/Yardhill/Replay.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill replay: a recorded trace through the decision cores, in virtual time.
+// yardhill replay: runs a recorded trace through the decision cores in virtual time.
 
 #include <algorithm>
 #include <cstdio>
@@ -46,7 +46,7 @@
 Exit codes: 0 done; 1 something that must hold does not, the first such thing is printed.
 )";
 
-const decision::placement_policy& policy_named(const std::string& name)
+const decision::placement_policy& find_policy(const std::string& name)
 {
   for (const decision::placement_policy* policy :
        {&decision::k_yardhill_policy, &decision::k_first_fit_policy,
@@ -76,7 +76,7 @@
 replay::cell_options options_from(const std::map<std::string, docopt::value>& parsed)
 {
   replay::cell_options options;
-  options.policy = &policy_named(parsed.at("--policy").asString());
+  options.policy = &find_policy(parsed.at("--policy").asString());
   options.check = parsed.at("--check").asBool();
   scheduling_options& scheduling = options.core.scheduling;
   const bool baseline = options.policy->first_in_first_out;
@@ -86,10 +86,10 @@
   if (parsed.at("--commit-each").asBool())
     options.core.ownership.most_batch = 1;
   if (parsed.at("--log").asBool())
-    options.log = [](time_point at, const std::string& who, const std::string& what)
+    options.log = [](time_point time, const std::string& source, const std::string& message)
     {
-      std::printf("%12lld %s %s\n", static_cast<long long>(at.time_since_epoch().count()),
-                  who.c_str(), what.c_str());
+      std::printf("%12lld %s %s\n", static_cast<long long>(time.time_since_epoch().count()),
+                  source.c_str(), message.c_str());
     };
   return options;
 }
@@ -99,7 +99,7 @@
   std::vector<std::int64_t> waits_us;
   std::map<std::string, std::size_t> outcomes;
   std::size_t sent = 0;
-  std::size_t missed = 0; // deadlines
+  std::size_t missed_deadlines = 0;
 };
 
 std::map<std::string, kind_figures> figures_by_kind(const replay::virtual_cell& cell)
@@ -118,7 +118,7 @@
     const bool missed =
         request.reply && (request.reply->reason == refusal_reason::deadline_passed ||
                           request.reply->reason == refusal_reason::deadline_too_near);
-    kind.missed += missed ? 1 : 0;
+    kind.missed_deadlines += missed ? 1 : 0;
   }
   return kinds;
 }
@@ -143,7 +143,7 @@
     out["kinds"][name] = {{"sent", kind.sent},
                           {"started", kind.waits_us.size()},
                           {"outcomes", kind.outcomes},
-                          {"missed_deadlines", kind.missed},
+                          {"missed_deadlines", kind.missed_deadlines},
                           {"wait_p50_ms", quantile_ms(kind.waits_us, 0.5)},
                           {"wait_p99_ms", quantile_ms(kind.waits_us, 0.99)},
                           {"wait_max_ms", quantile_ms(kind.waits_us, 1.0)}};
@@ -155,16 +155,16 @@
                     {"scarcest_while_backlogged", packing.backlogged},
                     {"backlogged_seconds", packing.backlogged_samples},
                     {"most_queued", packing.most_queued}};
-  const double each = 1.0 / static_cast<double>(std::max<std::size_t>(1, tasks));
+  const double per_task = 1.0 / static_cast<double>(std::max<std::size_t>(1, tasks));
   const replay::table_load& load = cell.table().load();
   const auto starts = static_cast<double>(cell.counts().value(counter::attempts_started));
   constexpr double thousand = 1000;
   out["control"] = {{"tasks", tasks},
-                    {"store_writes_per_task", static_cast<double>(load.writes) * each},
-                    {"store_rows_per_task", static_cast<double>(load.rows) * each},
-                    {"store_reads_per_task", static_cast<double>(load.reads) * each},
+                    {"store_writes_per_task", static_cast<double>(load.writes) * per_task},
+                    {"store_rows_per_task", static_cast<double>(load.rows) * per_task},
+                    {"store_reads_per_task", static_cast<double>(load.reads) * per_task},
                     {"store_limited", load.limited},
-                    {"steps_per_task", static_cast<double>(cell.steps()) * each},
+                    {"steps_per_task", static_cast<double>(cell.steps()) * per_task},
                     {"preemptions", cell.counts().value(counter::preemptions)},
                     {"core_ms_per_1000_starts",
                      std::chrono::duration<double, std::milli>(cell.core_time()).count() *
@@ -187,9 +187,9 @@
 }
 } // namespace
 
-int replay(const arguments& given)
+int replay(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_usage, given, true);
+  const auto parsed = docopt::docopt(k_usage, args, true);
   const replay::trace recorded =
       replay::trace_from(read_file(parsed.at("<trace>").asString()).text);
   replay::virtual_cell cell(recorded, document_for(recorded, parsed), options_from(parsed));
--- a/Source/Yardhill/Serve.cpp
+++ b/Source/Yardhill/Serve.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill serve: an entry instance.
+// yardhill serve: runs an entry instance.
 
 #include <csignal>
 #include <cstdio>
@@ -31,7 +31,8 @@
   --settings FILE  settings in JSON with comments; see docs/SETTINGS.md
 )";
 
-// Different at each start of a process, so that a restarted instance is a new one.
+// A random identifier of this run of the process. It differs at each start, so that a restarted
+// instance counts as a new one.
 std::string new_incarnation()
 {
   std::random_device device;
@@ -40,7 +41,8 @@
   return text;
 }
 
-// Signals are taken by a thread of their own, so that no handler runs code that is unsafe there.
+// Blocks the stop signals in all threads, for a dedicated thread to wait for them. Stopping an
+// instance runs code that is unsafe in a signal handler.
 sigset_t block_stop_signals()
 {
   sigset_t signals;
@@ -52,9 +54,9 @@
 }
 } // namespace
 
-int serve(const arguments& given)
+int serve(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_usage, given, true);
+  const auto parsed = docopt::docopt(k_usage, args, true);
   const common::named_text file = read_file(parsed.at("--settings").asString());
   common::problem_list problems;
   const auto settings = common::parse_instance_settings(file.text, file.file, problems);
--- a/Source/Yardhill/Tasks.cpp
+++ b/Source/Yardhill/Tasks.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill submit, status and cancel: single tasks.
+// yardhill submit, status and cancel: run, show and cancel a single task.
 
 #include <cstdio>
 
@@ -84,9 +84,9 @@
 }
 } // namespace
 
-int submit(const arguments& given)
+int submit(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_submit_usage, given, true);
+  const auto parsed = docopt::docopt(k_submit_usage, args, true);
   json request{{"workload", parsed.at("--workload").asString()},
                {"wait", !parsed.at("--no-wait").asBool()}};
   if (parsed.at("--key"))
@@ -108,9 +108,9 @@
   return exit_code_of(answer);
 }
 
-int status(const arguments& given)
+int status(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_status_usage, given, true);
+  const auto parsed = docopt::docopt(k_status_usage, args, true);
   instance_client client(parsed.at("--url").asString());
   const bool of_task = static_cast<bool>(parsed.at("<task>"));
   const std::string path =
@@ -123,9 +123,9 @@
   return exit_code_of(answer);
 }
 
-int cancel(const arguments& given)
+int cancel(const arguments& args)
 {
-  const auto parsed = docopt::docopt(k_cancel_usage, given, true);
+  const auto parsed = docopt::docopt(k_cancel_usage, args, true);
   instance_client client(parsed.at("--url").asString());
   const instance_answer answer =
       client.call(methods::DEL, "/v1/tasks/" + parsed.at("<task>").asString());
