--- a/Source/StandIns/CellStandIn.cpp
+++ b/Source/StandIns/CellStandIn.cpp
@@ -35,23 +35,24 @@
 using std::chrono::milliseconds;
 namespace wire = adapter::wire;
 
-// Ports after the first one.
+// Offsets from the first port.
 constexpr std::uint16_t k_admin_port = 2;
 constexpr std::uint16_t k_first_advice_port = 80;
-// What the sites' pages allow a job at most; the judge counts failures up to it.
+// The most attempts that the sites' documentation allows a job; the judge counts failures up to it.
 constexpr std::uint32_t k_max_attempts = 3;
 constexpr std::uint32_t k_racks_per_zone = 2;
-// Tasks that last run until they are stopped or killed.
-constexpr std::chrono::hours k_lasting{24};
+// Run time of long-running tasks, which run until they are stopped or killed.
+constexpr std::chrono::hours k_long_running_time{24};
 constexpr std::uint64_t k_policy_seed = 1;
 constexpr const char* k_flaky_payload = "flaky";
 constexpr std::uint64_t k_runs_per_failure = 6; // of a flaky job, on average
-// The first task of such a job crashes each worker that starts it, which is back after some time.
+// The first task of a job with this payload crashes each worker that starts it. The worker crashes
+// k_crash_delay after the start and starts anew k_restart_delay after the crash.
 constexpr const char* k_crashing_payload = "crashing";
-constexpr milliseconds k_crash{10};
-constexpr milliseconds k_crash_back{2500};
+constexpr milliseconds k_crash_delay{10};
+constexpr milliseconds k_restart_delay{2500};
 
-http::request model_call(const incoming_request& request)
+http::request to_model_request(const incoming_request& request)
 {
   http::request call;
   call.verb = request.verb;
@@ -62,15 +63,15 @@
   return call;
 }
 
-http::reply_handler model_answer(responder respond)
+http::reply_handler to_reply_handler(responder respond)
 {
   return [respond = std::move(respond)](const http::reply& reply) {
     respond({reply.status, reply.body, "application/json", {}});
   };
 }
 
-// Divided at slashes, without the first.
-std::vector<std::string> path_words(const std::string& target)
+// The segments of the path, split at slashes, without the leading slash.
+std::vector<std::string> path_segments(const std::string& target)
 {
   std::vector<std::string> words;
   std::size_t begin = 1;
@@ -83,7 +84,7 @@
   return words;
 }
 
-std::set<std::string> names_in(const std::string& list)
+std::set<std::string> split_names(const std::string& list)
 {
   std::set<std::string> names;
   std::istringstream in(list);
@@ -92,14 +93,14 @@
   return names;
 }
 
-std::optional<jobs::job_state> state_named(const std::string& name)
+std::optional<jobs::job_state> find_state(const std::string& name)
 {
   using jobs::job_state;
-  for (const job_state each : {job_state::queued, job_state::active, job_state::completed,
-                               job_state::failed, job_state::cancelled})
+  for (const job_state state : {job_state::queued, job_state::active, job_state::completed,
+                                job_state::failed, job_state::cancelled})
   {
-    if (jobs::to_text(each) == name)
-      return each;
+    if (jobs::to_text(state) == name)
+      return state;
   }
   return std::nullopt;
 }
@@ -116,20 +117,24 @@
         m_fleet(
             m_time, m_store, m_advice, m_judge,
             [this](const model::task_ref& task, model::run_number run, const std::string&)
-            { return course_of(task, run); },
+            { return plan_run(task, run); },
             m_specs)
   {
-    m_fleet.set_life_planner([this] { return std::exchange(m_next_life, {}); });
+    m_fleet.set_life_planner([this] { return std::exchange(m_next_incarnation_plan, {}); });
     m_fleet.set_crash_handler([this](model::fleet_worker& worker) { worker_crashed(worker); });
     listen(io, 0,
            [this](const incoming_request& request, responder respond)
            { call_store(request, std::move(respond)); });
-    // All instances have one address here; the service tells the calling machines by their ports.
+    // All instances call from the same address here, so each has an advice port of its own, by
+    // which the advice service distinguishes the calling machines.
     for (std::uint16_t i = 0; i < m_options.advice_ports; ++i)
     {
       listen(io, k_first_advice_port + i,
              [this, machine = std::to_string(i)](const incoming_request& request, responder respond)
-             { m_advice.handle(machine, model_call(request), model_answer(std::move(respond))); });
+             {
+               m_advice.handle(machine, to_model_request(request),
+                               to_reply_handler(std::move(respond)));
+             });
     }
     listen(io, k_admin_port,
            [this](const incoming_request& request, const responder& respond)
@@ -172,15 +177,15 @@
 
   void worker_crashed(model::fleet_worker& worker)
   {
-    m_time.schedule(k_crash_back,
+    m_time.schedule(k_restart_delay,
                     [this, &worker]
                     {
                       if (!worker.model)
-                        begin_life(worker);
+                        start_worker(worker);
                     });
   }
 
-  void begin_life(model::fleet_worker& worker)
+  void start_worker(model::fleet_worker& worker)
   {
     m_fleet.begin_life(worker);
     m_fleet.write_entry(worker);
@@ -189,20 +194,22 @@
   void call_worker(model::fleet_worker& worker, const incoming_request& request, responder respond)
   {
     ++m_worker_calls;
-    if (m_silent.contains(worker.machine))
+    if (m_silent_machines.contains(worker.machine))
     {
       m_unanswered.push_back(std::move(respond));
       return;
     }
-    const auto late = m_late.find(worker.machine);
-    const bool order = request.target == wire::k_start_path || request.target == wire::k_stop_path;
-    if (late == m_late.end() || !order)
+    const auto delay = m_request_delays.find(worker.machine);
+    const bool is_start_or_stop =
+        request.target == wire::k_start_path || request.target == wire::k_stop_path;
+    if (delay == m_request_delays.end() || !is_start_or_stop)
     {
-      model::worker_fleet::handle(worker, model_call(request), model_answer(std::move(respond)));
+      model::worker_fleet::handle(worker, to_model_request(request),
+                                  to_reply_handler(std::move(respond)));
       return;
     }
-    m_time.schedule(late->second,
-                    [&worker, call = model_call(request), done = model_answer(std::move(respond))]
+    m_time.schedule(delay->second, [&worker, call = to_model_request(request),
+                                    done = to_reply_handler(std::move(respond))]
                     { model::worker_fleet::handle(worker, call, done); });
   }
 
@@ -213,59 +220,59 @@
     return common::stable_hash(name, run) % k_runs_per_failure == 0;
   }
 
-  model::run_course course_of(const model::task_ref& task, model::run_number run) const
+  model::run_course plan_run(const model::task_ref& task, model::run_number run) const
   {
     model::run_course course;
     const auto spec = m_specs.find(task.job);
     if (spec == m_specs.end())
       return course;
     const jobs::step_spec& step = spec->second.steps.at(task.place.step);
-    course.takes = step.long_running ? common::duration(k_lasting)
+    course.takes = step.long_running ? common::duration(k_long_running_time)
                                      : std::chrono::duration_cast<common::duration>(
                                            step.estimate * m_options.run_time_share);
     course.fails = spec->second.payload == k_flaky_payload && fails(task, run);
     if (spec->second.payload == k_crashing_payload && task.place == jobs::task_place{})
-      course.crashes_after = k_crash;
+      course.crashes_after = k_crash_delay;
     return course;
   }
 
   void call_store(const incoming_request& request, responder respond)
   {
     ++m_store_calls;
-    if (over_limit())
+    if (count_and_check_limit())
       respond({429, "{}", "application/json", {}});
     else if (m_store_fault == "unavailable")
       respond({503, "{}", "application/json", {}});
     else if (m_store_fault == "silent")
       m_unanswered.push_back(std::move(respond));
     else if (m_store_fault == "loses_answers")
-      m_store.handle(model_call(request), [](const http::reply&) {});
+      m_store.handle(to_model_request(request), [](const http::reply&) {});
     else
-      m_store.handle(model_call(request), model_answer(std::move(respond)));
+      m_store.handle(to_model_request(request), to_reply_handler(std::move(respond)));
   }
 
-  // Whether this call is one too many of the present second.
-  bool over_limit()
+  // Counts a call to the store; returns whether it exceeds the limit for the current second.
+  bool count_and_check_limit()
   {
-    if (m_time.now() - m_second_began >= std::chrono::seconds(1))
+    if (m_time.now() - m_second_started_at >= std::chrono::seconds(1))
     {
-      m_second_began = m_time.now();
-      m_calls_of_second = 0;
+      m_second_started_at = m_time.now();
+      m_calls_this_second = 0;
     }
-    ++m_calls_of_second;
-    return m_calls_per_second != 0 && m_calls_of_second > m_calls_per_second;
+    ++m_calls_this_second;
+    return m_calls_per_second != 0 && m_calls_this_second > m_calls_per_second;
   }
 
   outgoing_answer administer(const incoming_request& request)
   {
     static const std::map<std::string, admin_call> k_calls{
         {"configuration", &implementation::put_configuration},
-        {"jobs", &implementation::note_job},
+        {"jobs", &implementation::update_job},
         {"store", &implementation::set_store_fault},
-        {"workers", &implementation::befall_worker},
+        {"workers", &implementation::set_worker_fault},
         {"report", &implementation::report},
         {"runs", &implementation::runs}};
-    const std::vector<std::string> words = path_words(request.target);
+    const std::vector<std::string> words = path_segments(request.target);
     const auto found = k_calls.find(words.front());
     if (found == k_calls.end())
       return {404, "no such call", "text/plain", {}};
@@ -285,11 +292,11 @@
     return {};
   }
 
-  outgoing_answer note_job(const std::vector<std::string>& words, const std::string& body)
+  outgoing_answer update_job(const std::vector<std::string>& words, const std::string& body)
   {
     const std::string& id = words.at(1);
-    const std::string what = words.size() > 2 ? words[2] : "";
-    if (what.empty())
+    const std::string action = words.size() > 2 ? words[2] : "";
+    if (action.empty())
     {
       const auto spec = adapter::submission_from(body);
       if (!spec)
@@ -299,13 +306,13 @@
       if (spec->payload == k_crashing_payload)
         m_judge.expect_crashes({id, {}});
     }
-    else if (what == "answers")
+    else if (action == "answers")
       m_judge.answered(id, static_cast<unsigned>(std::stoul(words.at(3))));
-    else if (what == "states")
-      m_judge.shown(id, state_named(words.at(3)).value());
-    else if (what == "cancel")
+    else if (action == "states")
+      m_judge.shown(id, find_state(words.at(3)).value());
+    else if (action == "cancel")
       m_judge.cancel_asked(id);
-    else if (what == "cancelled")
+    else if (action == "cancelled")
       m_judge.cancelled(id, m_time.now());
     else
       return {404, "no such call", "text/plain", {}};
@@ -314,21 +321,21 @@
 
   outgoing_answer set_store_fault(const std::vector<std::string>& words, const std::string&)
   {
-    const std::string& what = words.at(1);
-    if (what == "slow")
+    const std::string& fault = words.at(1);
+    if (fault == "slow")
       m_store.set_pace(milliseconds(std::stol(words.at(2))));
-    else if (what == "limited")
+    else if (fault == "limited")
       m_calls_per_second = std::stoull(words.at(2));
-    else if (what == "parts")
-      m_store.silence_parts(names_in(words.size() > 2 ? words[2] : ""));
-    else if (what == "forget")
+    else if (fault == "parts")
+      m_store.silence_parts(split_names(words.size() > 2 ? words[2] : ""));
+    else if (fault == "forget")
       m_store.forget_history();
     else
-      return set_answers_of_store(what);
+      return set_store_answers(fault);
     return {};
   }
 
-  outgoing_answer set_answers_of_store(const std::string& fault)
+  outgoing_answer set_store_answers(const std::string& fault)
   {
     static constexpr std::array<const char*, 4> k_faults{"works", "unavailable", "silent",
                                                          "loses_answers"};
@@ -338,58 +345,58 @@
     return {};
   }
 
-  outgoing_answer befall_worker(const std::vector<std::string>& words, const std::string&)
+  outgoing_answer set_worker_fault(const std::vector<std::string>& words, const std::string&)
   {
     model::fleet_worker& worker = m_fleet.workers().at(std::stoul(words.at(1)));
-    const std::string& what = words.at(2);
-    if (what == "crash")
+    const std::string& fault = words.at(2);
+    if (fault == "crash")
     {
       m_judge.worker_crashed(worker.settings.life);
       model::worker_fleet::end_life(worker);
     }
-    else if (what == "leave")
+    else if (fault == "leave")
     {
       model::worker_fleet::end_life(worker);
       m_fleet.remove_entry(worker);
     }
-    else if (what == "replace")
-      begin_life(worker);
-    else if (what == "restart")
+    else if (fault == "replace")
+      start_worker(worker);
+    else if (fault == "restart")
       restart(worker, milliseconds(std::stol(words.at(3))));
-    else if (what == "room")
-      set_room(worker, std::stod(words.at(3)) / 100.0);
-    else if (what == "drain")
+    else if (fault == "room")
+      scale_capacity(worker, std::stod(words.at(3)) / 100.0);
+    else if (fault == "drain")
       drain(worker);
-    else if (what == "silence")
-      m_silent.insert(worker.machine);
-    else if (what == "speak")
-      m_silent.erase(worker.machine);
-    else if (what == "late")
-      m_late[worker.machine] = milliseconds(std::stol(words.at(3)));
+    else if (fault == "silence")
+      m_silent_machines.insert(worker.machine);
+    else if (fault == "speak")
+      m_silent_machines.erase(worker.machine);
+    else if (fault == "late")
+      m_request_delays[worker.machine] = milliseconds(std::stol(words.at(3)));
     else
       return {400, "no such fault", "text/plain", {}};
     return {};
   }
 
-  // It has crashed and starts again under its id; its clock shows that at first.
+  // Crashes the worker and starts it again under the same id, with its clock at `clock`.
   void restart(model::fleet_worker& worker, milliseconds clock)
   {
     if (worker.model)
       m_judge.worker_crashed(worker.settings.life);
     model::worker_fleet::end_life(worker);
-    m_next_life = {true, clock, {}};
-    begin_life(worker);
+    m_next_incarnation_plan = {true, clock, {}};
+    start_worker(worker);
   }
 
-  // It has that share of its room from now on, and its entry says so.
-  void set_room(model::fleet_worker& worker, double share)
+  // Changes the worker's capacity to a share of the configured one and updates its entry.
+  void scale_capacity(model::fleet_worker& worker, double share)
   {
     model::worker_fleet::set_capacity(worker, common::scaled(m_options.capacity, share));
     if (worker.model)
       m_fleet.write_entry(worker);
   }
 
-  // Nothing comes from one that is gone.
+  // Announces in its entry that the worker is draining. A worker that is not running cannot do so.
   void drain(model::fleet_worker& worker)
   {
     if (!worker.model)
@@ -410,8 +417,8 @@
   outgoing_answer runs(const std::vector<std::string>&, const std::string&)
   {
     json tasks = json::array();
-    for (const model::task_ref& each : m_judge.active_tasks())
-      tasks.push_back({each.job, each.place.step, each.place.index});
+    for (const model::task_ref& task : m_judge.active_tasks())
+      tasks.push_back({task.job, task.place.step, task.place.index});
     const json out{{"tasks", std::move(tasks)}, {"started", m_judge.started_jobs()}};
     return {200, out.dump(), "application/json", {}};
   }
@@ -423,18 +430,21 @@
   model::advice_model m_advice;
   std::map<std::string, jobs::job_spec> m_specs;
   model::worker_fleet m_fleet;
-  model::life_plan m_next_life;
+  model::life_plan m_next_incarnation_plan;
   std::string m_store_fault = "works";
-  std::uint64_t m_calls_per_second = 0; // to the store, before it turns calls away; 0: no limit
-  std::uint64_t m_calls_of_second = 0;
-  common::time_point m_second_began;
-  std::set<std::string> m_silent;             // machines of workers that answer nobody
-  std::map<std::string, milliseconds> m_late; // by machine: how late it carries orders out
-  // Their connections stay open, as those to a machine without power do.
+  std::uint64_t m_calls_per_second = 0; // limit on calls to the store; 0: none
+  std::uint64_t m_calls_this_second = 0;
+  common::time_point m_second_started_at;
+  std::set<std::string> m_silent_machines; // machines of workers that answer no call
+  // By machine: how late the worker handles start and stop requests.
+  std::map<std::string, milliseconds> m_request_delays;
+  // Calls that are never answered. Their connections stay open, as connections to a machine that
+  // has lost power do.
   std::vector<responder> m_unanswered;
   std::uint64_t m_store_calls = 0;
   std::uint64_t m_worker_calls = 0;
-  std::vector<std::unique_ptr<http::http_listener>> m_listeners; // last: they go first
+  // The last member, so that the listeners are destroyed first.
+  std::vector<std::unique_ptr<http::http_listener>> m_listeners;
 };
 
 cell_stand_in::cell_stand_in(boost::asio::io_context& io, const cell_options& options)
--- a/Source/StandIns/HttpHelp.h
+++ b/Source/StandIns/HttpHelp.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What both stand-ins need of the HTTP library.
+// HTTP server and timer functions shared by the platform stand-in and the worker stand-in.
 
 #include <functional>
 #include <string>
@@ -29,12 +29,14 @@
   web::http::experimental::listener::http_listener m_listener;
 };
 
+// Sends a reply with content type application/json. A caller that has hung up is ignored.
 void reply(const web::http::http_request& request, web::http::status_code status,
            const std::string& body);
-// Calls back with the body; a request that cannot be handled is answered with what went wrong.
+// Reads the request's body and calls `then` with it. If reading or `then` throws, the request is
+// answered with status 400 and the error's message.
 void with_body(const web::http::http_request& request,
                std::function<void(const std::string&)> then);
-// Calls back on a library thread once the time has passed.
+// Calls `then` on a thread of the HTTP library after the delay.
 void after(duration delay, std::function<void()> then);
 time_point monotonic_now();
 } // namespace yardhill::stand_ins
--- a/Source/StandIns/Main.cpp
+++ b/Source/StandIns/Main.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The stand-ins for what the platform gives: its table service and instance list, and workers.
-// For tests and the demo; not part of the product.
+// Runs the stand-ins for a whole cell, for the platform's table service and instance list, or for a
+// zone's workers. For tests and the demo; not part of the product.
 
 #include <csignal>
 #include <cstdio>
@@ -53,7 +53,7 @@
   --settings FILE    an instance's settings, for the workers' ticket life and task lease
 )";
 
-constexpr std::size_t k_threads = 4;
+constexpr std::size_t k_library_threads = 4;
 
 void run_cell(const std::map<std::string, docopt::value>& parsed)
 {
@@ -107,7 +107,7 @@
       return 0;
     }
     block_stop_signals();
-    crossplat::threadpool::initialize_with_threads(k_threads);
+    crossplat::threadpool::initialize_with_threads(k_library_threads);
     if (parsed.at("platform").asBool())
     {
       yardhill::stand_ins::platform_options options;
--- a/Source/StandIns/PlatformStandIn.cpp
+++ b/Source/StandIns/PlatformStandIn.cpp
@@ -29,9 +29,9 @@
 struct platform_faults
 {
   bool outage = false;
-  duration slow{0};
-  std::uint64_t lose_answers = 0; // of this many transactions, after they took effect
-  std::set<std::string> cut;      // callers that get no answer
+  duration answer_delay{0};
+  std::uint64_t lose_answers = 0;            // number of transactions to apply without answering
+  std::set<std::string> unreachable_callers; // callers that get no answer
 };
 
 web::http::status_code status_of(store_status status)
@@ -80,7 +80,7 @@
                 if (path == "/faults")
                   set_faults(request, body);
                 else if (path == "/load")
-                  show_load(request);
+                  reply_load(request);
                 else if (path == platform::k_instances_path && request.method() == methods::POST)
                   register_instances(request, body);
                 else
@@ -91,19 +91,20 @@
   void set_faults(const http_request& request, const std::string& body)
   {
     const json in = json::parse(body);
-    const std::lock_guard hold(m_lock);
+    const std::lock_guard guard(m_lock);
     m_faults.outage = in.value("outage", m_faults.outage);
-    m_faults.slow = std::chrono::milliseconds{in.value(
-        "slow_ms", std::chrono::duration_cast<std::chrono::milliseconds>(m_faults.slow).count())};
+    m_faults.answer_delay = std::chrono::milliseconds{in.value(
+        "slow_ms",
+        std::chrono::duration_cast<std::chrono::milliseconds>(m_faults.answer_delay).count())};
     m_faults.lose_answers = in.value("lose_answers", m_faults.lose_answers);
     if (in.contains("cut"))
-      m_faults.cut = in["cut"].get<std::set<std::string>>();
+      m_faults.unreachable_callers = in["cut"].get<std::set<std::string>>();
     reply(request, status_codes::OK, "{}");
   }
 
-  void show_load(const http_request& request)
+  void reply_load(const http_request& request)
   {
-    const std::lock_guard hold(m_lock);
+    const std::lock_guard guard(m_lock);
     const replay::table_load& load = m_table.load();
     reply(request, status_codes::OK,
           json{{"reads", load.reads},
@@ -116,7 +117,7 @@
 
   void register_instances(const http_request& request, const std::string& body)
   {
-    const std::lock_guard hold(m_lock);
+    const std::lock_guard guard(m_lock);
     for (const listed_instance& entry : platform::instance_list_from(body))
       m_instances[entry.name] = entry;
     m_lists.emplace_back(monotonic_now(), current_list());
@@ -133,28 +134,28 @@
 
   void serve(const http_request& request, const std::string& path, const std::string& body)
   {
-    duration slow{0};
+    duration delay{0};
     {
-      const std::lock_guard hold(m_lock);
-      if (m_faults.cut.contains(caller_of(request)))
+      const std::lock_guard guard(m_lock);
+      if (m_faults.unreachable_callers.contains(caller_of(request)))
         return; // no answer
       if (m_faults.outage)
       {
         reply(request, status_codes::ServiceUnavailable, "outage");
         return;
       }
-      slow = m_faults.slow;
+      delay = m_faults.answer_delay;
     }
     const auto answer = [this, request, path, body] { serve_now(request, path, body); };
-    if (slow > duration{0})
-      after(slow, answer);
+    if (delay > duration{0})
+      after(delay, answer);
     else
       answer();
   }
 
   void serve_now(const http_request& request, const std::string& path, const std::string& body)
   {
-    const std::lock_guard hold(m_lock);
+    const std::lock_guard guard(m_lock);
     if (path == platform::k_read_path)
     {
       const store_read_result result =
@@ -168,7 +169,7 @@
       if (result.status == store_status::ok && m_faults.lose_answers > 0)
       {
         --m_faults.lose_answers;
-        return; // it took effect, but nobody hears of it
+        return; // the transaction took effect, but its answer is lost
       }
       reply(request, status_of(result.status), std::to_string(result.version));
     }
@@ -203,10 +204,10 @@
 
   std::vector<listed_instance> lagging_list()
   {
-    const time_point shown = monotonic_now() - m_options.list_lag;
-    while (m_lists.size() > 1 && m_lists[1].first <= shown)
+    const time_point listed_at = monotonic_now() - m_options.list_lag;
+    while (m_lists.size() > 1 && m_lists[1].first <= listed_at)
       m_lists.pop_front();
-    if (m_lists.empty() || m_lists.front().first > shown)
+    if (m_lists.empty() || m_lists.front().first > listed_at)
       return {};
     return m_lists.front().second;
   }
--- a/Source/StandIns/PlatformStandIn.h
+++ b/Source/StandIns/PlatformStandIn.h
@@ -3,12 +3,13 @@
 
 #pragma once
 
-// The platform's table service and instance list as a process, with faults set over HTTP.
+// Simulates the platform's table service and instance list. Faults are set over HTTP.
 //
-//   POST /table/read, /table/transaction, GET /instances   as Platform/TableProtocol.h says
-//   POST /instances   puts an entry into the list, by name
+//   POST /table/read, /table/transaction, GET /instances   as in Platform/TableProtocol.h
+//   POST /instances   adds an entry to the list or replaces the one of that name
 //   POST /faults      {"outage": bool, "slow_ms": n, "lose_answers": n, "cut": [caller...]}
-//   GET  /load        what the table was asked, as JSON
+//                     (`cut`: callers that get no answer)
+//   GET  /load        counters of the calls to the table, as JSON
 
 #include <cstdint>
 #include <memory>
@@ -24,7 +25,7 @@
 {
   std::uint16_t port = 0;
   replay::table_limits limits;
-  duration list_lag{0};
+  duration list_lag{0}; // age of the instance list that callers get
 };
 
 class platform_stand_in
--- a/Source/StandIns/WorkerStandIn.cpp
+++ b/Source/StandIns/WorkerStandIn.cpp
@@ -70,12 +70,12 @@
   return settings->core.ownership;
 }
 
-std::uint16_t port_of(const std::string& address)
+std::uint16_t parse_port(const std::string& address)
 {
   return static_cast<std::uint16_t>(std::stoul(address.substr(address.rfind(':') + 1)));
 }
 
-// The name of the instance that speaks, without its incarnation.
+// The instance's name without its incarnation.
 std::string name_of(const instance_id& id)
 {
   return id.value.substr(0, id.value.find('@'));
@@ -91,24 +91,24 @@
     const zone_config zone = read_zone(config_files, zone_name);
     const ownership_options options = read_options(settings_file);
     for (const worker_config& config : zone.workers)
-      m_workers.push_back(std::make_unique<hosted>(config, options, next_boot()));
+      m_workers.push_back(std::make_unique<hosted_worker>(config, options, next_boot()));
     for (const auto& worker : m_workers)
     {
-      hosted* served = worker.get();
-      served->server = std::make_unique<http_server>(port_of(served->model.config().address),
+      hosted_worker* served = worker.get();
+      served->server = std::make_unique<http_server>(parse_port(served->model.config().address),
                                                      [this, served](const http_request& request)
                                                      { handle(*served, request); });
     }
     m_admin = std::make_unique<http_server>(admin_port, [this](const http_request& request)
                                             { handle_admin(request); });
-    m_timer = std::thread([this] { keep_time(); });
+    m_timer = std::thread([this] { run_timer(); });
   }
 
   ~implementation()
   {
     {
-      const std::lock_guard hold(m_lock);
-      m_ending = true;
+      const std::lock_guard guard(m_lock);
+      m_stopping = true;
     }
     m_changed.notify_all();
     m_timer.join();
@@ -118,23 +118,23 @@
   }
 
 private:
-  struct held_claim
+  struct pending_claim
   {
     http_request request;
     claim_request claim;
     time_point until;
   };
 
-  struct hosted
+  struct hosted_worker
   {
-    hosted(const worker_config& config, const ownership_options& options, std::string boot)
+    hosted_worker(const worker_config& config, const ownership_options& options, std::string boot)
         : model(config, options, std::move(boot))
     {
     }
 
     replay::worker_model model;
-    std::vector<held_claim> held;
-    std::set<std::string> cut;
+    std::vector<pending_claim> pending_claims;
+    std::set<std::string> unreachable_owners; // names of instances that get no answer
     bool paused = false;
     std::unique_ptr<http_server> server;
   };
@@ -145,14 +145,14 @@
     return std::to_string(started) + "-" + std::to_string(++m_boots);
   }
 
-  void handle(hosted& worker, const http_request& request)
+  void handle(hosted_worker& worker, const http_request& request)
   {
     with_body(request,
               [this, &worker, request](const std::string& body)
               {
                 const std::string path = request.relative_uri().path();
                 {
-                  const std::lock_guard hold(m_lock);
+                  const std::lock_guard guard(m_lock);
                   if (worker.paused)
                     return;
                   worker.model.advance(monotonic_now());
@@ -164,64 +164,64 @@
                     stop(worker, request, stop_request_from(body));
                   else
                     reply(request, status_codes::NotFound, "");
-                  answer_held(worker, monotonic_now());
+                  answer_pending_claims(worker, monotonic_now());
                 }
                 m_changed.notify_all();
               });
   }
 
-  void claim(hosted& worker, const http_request& request, const claim_request& asked)
+  void claim(hosted_worker& worker, const http_request& request, const claim_request& received)
   {
-    if (worker.cut.contains(name_of(asked.owner)))
+    if (worker.unreachable_owners.contains(name_of(received.owner)))
       return;
-    worker.model.take(asked, monotonic_now());
-    worker.held.push_back({request, asked, monotonic_now() + asked.wait});
+    worker.model.take(received, monotonic_now());
+    worker.pending_claims.push_back({request, received, monotonic_now() + received.wait});
   }
 
-  void start(hosted& worker, const http_request& request, const start_request& asked)
+  void start(hosted_worker& worker, const http_request& request, const start_request& received)
   {
-    if (worker.cut.contains(name_of(asked.owner)))
+    if (worker.unreachable_owners.contains(name_of(received.owner)))
       return;
-    reply(request, status_codes::OK, to_json_text(worker.model.start(asked, monotonic_now())));
+    reply(request, status_codes::OK, to_json_text(worker.model.start(received, monotonic_now())));
   }
 
-  void stop(hosted& worker, const http_request& request, const stop_request& asked)
+  void stop(hosted_worker& worker, const http_request& request, const stop_request& received)
   {
-    if (worker.cut.contains(name_of(asked.owner)))
+    if (worker.unreachable_owners.contains(name_of(received.owner)))
       return;
-    worker.model.stop(asked, monotonic_now());
+    worker.model.stop(received, monotonic_now());
     reply(request, status_codes::OK, "{}");
   }
 
-  void answer_held(hosted& worker, time_point now)
+  void answer_pending_claims(hosted_worker& worker, time_point now)
   {
-    std::erase_if(worker.held,
-                  [&](const held_claim& held)
+    std::erase_if(worker.pending_claims,
+                  [&](const pending_claim& pending)
                   {
-                    if (now < held.until && !worker.model.has_news_for(held.claim))
+                    if (now < pending.until && !worker.model.has_news_for(pending.claim))
                       return false;
-                    reply(held.request, status_codes::OK,
-                          to_json_text(worker.model.answer(held.claim, now)));
+                    reply(pending.request, status_codes::OK,
+                          to_json_text(worker.model.answer(pending.claim, now)));
                     return true;
                   });
   }
 
-  void keep_time()
+  void run_timer()
   {
-    std::unique_lock hold(m_lock);
-    while (!m_ending)
+    std::unique_lock guard(m_lock);
+    while (!m_stopping)
     {
       const time_point now = monotonic_now();
       time_point next = now + std::chrono::seconds{1};
       for (const auto& worker : m_workers)
       {
         worker->model.advance(now);
-        answer_held(*worker, now);
+        answer_pending_claims(*worker, now);
         next = std::min(next, worker->model.next_event());
-        for (const held_claim& held : worker->held)
-          next = std::min(next, held.until);
+        for (const pending_claim& pending : worker->pending_claims)
+          next = std::min(next, pending.until);
       }
-      m_changed.wait_for(hold, std::max(next - monotonic_now(), duration{100}));
+      m_changed.wait_for(guard, std::max(next - monotonic_now(), duration{100}));
     }
   }
 
@@ -231,7 +231,7 @@
               [this, request](const std::string& body)
               {
                 const std::string path = request.relative_uri().path();
-                const std::lock_guard hold(m_lock);
+                const std::lock_guard guard(m_lock);
                 if (path == "/faults")
                 {
                   for (const auto& worker : m_workers)
@@ -248,7 +248,7 @@
     m_changed.notify_all();
   }
 
-  void set_faults(hosted& worker, const json& faults)
+  void set_faults(hosted_worker& worker, const json& faults)
   {
     const std::string name = worker.model.config().id.value;
     if (faults.contains("workers"))
@@ -257,14 +257,15 @@
       if (!named.contains(name))
         return;
     }
-    replay::worker_faults& set = worker.model.faults();
-    set.fails_everything = faults.value("fails_everything", set.fails_everything);
-    set.leaving = faults.value("leaving", set.leaving);
+    replay::worker_faults& model_faults = worker.model.faults();
+    model_faults.fails_everything = faults.value("fails_everything", model_faults.fails_everything);
+    model_faults.leaving = faults.value("leaving", model_faults.leaving);
     worker.paused = faults.value("paused", worker.paused);
     if (faults.contains("usage_lag_ms"))
-      set.usage_lag = std::chrono::milliseconds{faults["usage_lag_ms"].get<std::int64_t>()};
+      model_faults.usage_lag =
+          std::chrono::milliseconds{faults["usage_lag_ms"].get<std::int64_t>()};
     if (faults.contains("cut"))
-      worker.cut = faults["cut"].get<std::set<std::string>>();
+      worker.unreachable_owners = faults["cut"].get<std::set<std::string>>();
     if (faults.value("reboot", false))
       worker.model.reboot(next_boot(), monotonic_now());
   }
@@ -308,9 +309,9 @@
 
   std::mutex m_lock;
   std::condition_variable m_changed;
-  bool m_ending = false;
+  bool m_stopping = false;
   std::uint64_t m_boots = 0;
-  std::vector<std::unique_ptr<hosted>> m_workers;
+  std::vector<std::unique_ptr<hosted_worker>> m_workers;
   std::unique_ptr<http_server> m_admin;
   std::thread m_timer;
 };
