--- a/Source/Benchmarks/CallBenchmark.cpp
+++ b/Source/Benchmarks/CallBenchmark.cpp
@@ -1,9 +1,10 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What one call to a worker costs its owner's process: starts, and holds whose answers list runs
-// and an end. The workers answer from another process over the loopback address. One JSON object a
-// kind of call; `strace -c` on this process counts its system calls, without those of the workers.
+// Measures what one call to a worker costs its owner's process, for start requests and for holds
+// whose answers list runs and one ended run. The workers answer from another process over the
+// loopback address, so `strace -c` on this process counts its system calls without those of the
+// workers. Prints one JSON object per kind of call.
 
 #include <chrono>
 #include <csignal>
@@ -47,7 +48,7 @@
 
 constexpr std::size_t k_worker_connections = 3;
 
-std::uint32_t number(const docopt::value& text)
+std::uint32_t to_number(const docopt::value& text)
 {
   return static_cast<std::uint32_t>(text.asLong());
 }
@@ -57,7 +58,7 @@
   return "c564c1099cdb8ca9.0.0." + std::to_string(index);
 }
 
-std::string lists_of(std::uint32_t runs)
+std::string make_hold_answer(std::uint32_t runs)
 {
   json body{{adapter::wire::k_clock_ms, 123456789}, {adapter::wire::k_born, 1771402716018}};
   body[adapter::wire::k_running] = json::array();
@@ -67,7 +68,7 @@
   return body.dump();
 }
 
-// A port that nobody listens on just now.
+// A port on which no process listens at the time of the call.
 std::uint16_t free_port()
 {
   asio::io_context io;
@@ -75,12 +76,13 @@
   return probe.local_endpoint().port();
 }
 
-// Answers as all workers, one an address, until its parent ends.
+// Answers for all workers, each at an address of its own, until the parent process ends. Writes a
+// byte to `ready` once it listens.
 [[noreturn]] void serve(std::uint16_t port, std::uint32_t runs, int ready)
 {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   asio::io_context io(1);
-  const std::string lists = lists_of(runs);
+  const std::string lists = make_hold_answer(runs);
   const std::string clock = json{{adapter::wire::k_clock_ms, 123456789}}.dump();
   const http::http_listener listener(
       io, {"0.0.0.0", port}, adapter::wire::k_expected_instance,
@@ -91,20 +93,21 @@
                  "application/json",
                  {}});
       });
-  const bool told = ::write(ready, "r", 1) == 1;
-  if (told)
+  const bool ready_sent = ::write(ready, "r", 1) == 1;
+  if (ready_sent)
     io.run();
   ::_exit(0);
 }
 
+// Processor time used by this process, and its voluntary context switches.
 struct usage
 {
   double user_us = 0;
   double system_us = 0;
-  long sleeps = 0;
+  long voluntary_switches = 0;
 };
 
-usage used()
+usage current_usage()
 {
   rusage now{};
   ::getrusage(RUSAGE_SELF, &now);
@@ -131,11 +134,12 @@
   json measure(const char* kind, call_kind call, std::uint32_t calls, std::uint32_t at_once)
   {
     run(call, 3 * m_workers, at_once);
-    const usage before = used();
-    const auto begun = std::chrono::steady_clock::now();
+    const usage before = current_usage();
+    const auto started_at = std::chrono::steady_clock::now();
     run(call, calls, at_once);
-    const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - begun;
-    const usage after = used();
+    const std::chrono::duration<double, std::micro> elapsed =
+        std::chrono::steady_clock::now() - started_at;
+    const usage after = current_usage();
     const double user = (after.user_us - before.user_us) / calls;
     const double system = (after.system_us - before.system_us) / calls;
     return {{"kind", kind},
@@ -144,70 +148,71 @@
             {"failed", m_failed},
             {"user_us", user},
             {"system_us", system},
-            {"elapsed_us", took.count() / calls},
-            {"sleeps", static_cast<double>(after.sleeps - before.sleeps) / calls},
+            {"elapsed_us", elapsed.count() / calls},
+            {"sleeps",
+             static_cast<double>(after.voluntary_switches - before.voluntary_switches) / calls},
             {"calls_a_second_a_core", 1e6 / (user + system)}};
   }
 
   void start()
   {
-    scheduling::start_command order;
-    to_next_worker(order);
-    order.task = {"c564c1099cdb8ca9", {0, 0, 42}};
-    order.run = 1001;
-    order.payload = m_payload;
-    order.lease_end = std::chrono::milliseconds{123464289};
-    m_client.start(order, m_time.now(),
-                   [this](const scheduling::start_answer& answer) { answered(answer.end); });
+    scheduling::start_command command;
+    address_next_worker(command);
+    command.task = {"c564c1099cdb8ca9", {0, 0, 42}};
+    command.run = 1001;
+    command.payload = m_payload;
+    command.lease_end = std::chrono::milliseconds{123464289};
+    m_client.start(command, m_time.now(),
+                   [this](const scheduling::start_answer& answer) { on_answer(answer.end); });
   }
 
   void hold()
   {
-    scheduling::hold_command order;
-    to_next_worker(order);
-    order.acknowledged = 16;
-    order.lease_end = std::chrono::milliseconds{123464289};
-    order.wait = std::chrono::milliseconds{2000};
-    m_client.hold(order, m_time.now(),
-                  [this](const scheduling::hold_answer& answer) { answered(answer.end); });
+    scheduling::hold_command command;
+    address_next_worker(command);
+    command.acknowledged = 16;
+    command.lease_end = std::chrono::milliseconds{123464289};
+    command.wait = std::chrono::milliseconds{2000};
+    m_client.hold(command, m_time.now(),
+                  [this](const scheduling::hold_answer& answer) { on_answer(answer.end); });
   }
 
 private:
   template<class command_type>
-  void to_next_worker(command_type& order)
+  void address_next_worker(command_type& command)
   {
     m_next = (m_next + 1) % m_workers;
-    order.worker = common::worker_id("worker-" + std::to_string(m_next));
-    order.address = {
+    command.worker = common::worker_id("worker-" + std::to_string(m_next));
+    command.address = {
         "127.0." + std::to_string(m_next / 250) + "." + std::to_string(1 + m_next % 250), m_port};
-    order.token = 12345;
+    command.token = 12345;
   }
 
   void run(call_kind call, std::uint32_t calls, std::uint32_t at_once)
   {
     m_call = call;
-    m_left = calls;
-    m_under_way = 0;
+    m_remaining = calls;
+    m_in_flight = 0;
     for (std::uint32_t i = 0; i < at_once; ++i)
-      begin_next();
-    while (m_under_way > 0)
+      send_next();
+    while (m_in_flight > 0)
       m_io.run_one();
   }
 
-  void begin_next()
+  void send_next()
   {
-    if (m_left == 0)
+    if (m_remaining == 0)
       return;
-    --m_left;
-    ++m_under_way;
+    --m_remaining;
+    ++m_in_flight;
     (this->*m_call)();
   }
 
-  void answered(scheduling::call_end end)
+  void on_answer(scheduling::call_end end)
   {
     m_failed += end == scheduling::call_end::done ? 0 : 1;
-    --m_under_way;
-    begin_next();
+    --m_in_flight;
+    send_next();
   }
 
   asio::io_context m_io{1};
@@ -220,8 +225,8 @@
   std::string m_payload;
   call_kind m_call = nullptr;
   std::uint32_t m_next = 0;
-  std::uint32_t m_left = 0;
-  std::uint32_t m_under_way = 0;
+  std::uint32_t m_remaining = 0;
+  std::uint32_t m_in_flight = 0;
   std::uint32_t m_failed = 0;
 };
 } // namespace
@@ -235,15 +240,15 @@
     return 1;
   const pid_t workers = ::fork();
   if (workers == 0)
-    serve(port, number(options.at("--runs")), ready[1]);
+    serve(port, to_number(options.at("--runs")), ready[1]);
   char byte = 0;
   if (workers < 0 || ::read(ready[0], &byte, 1) != 1)
     return 1;
-  caller owner(port, number(options.at("--workers")), number(options.at("--payload")));
+  caller owner(port, to_number(options.at("--workers")), to_number(options.at("--payload")));
   for (const auto& [name, kind] : {std::pair{"start", &caller::start}, {"hold", &caller::hold}})
   {
-    const json out =
-        owner.measure(name, kind, number(options.at("--calls")), number(options.at("--at-once")));
+    const json out = owner.measure(name, kind, to_number(options.at("--calls")),
+                                   to_number(options.at("--at-once")));
     std::printf("%s\n", out.dump().c_str());
   }
   ::kill(workers, SIGKILL);
--- a/Source/Benchmarks/PassBenchmark.cpp
+++ b/Source/Benchmarks/PassBenchmark.cpp
@@ -1,8 +1,9 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What one pass of a partition's scheduler costs on one core, by workers and running tasks: a pass
-// that finds nothing to do, and one after an end of a task that has been heard. One JSON object.
+// Measures what one pass of a partition's scheduler costs on one core, by the numbers of workers
+// and running tasks, for a pass that finds nothing to do and for one after the end of a task was
+// reported. Prints one JSON object.
 
 #include <algorithm>
 #include <chrono>
@@ -34,7 +35,7 @@
   --advice     the queue's policy names the workers; it permits every other one for two seconds
 )";
 
-// A partition whose workers have all been heard, with tasks running on each.
+// A partition all of whose workers have reported, with tasks running on each.
 class busy_partition
 {
 public:
@@ -50,30 +51,30 @@
     m_scheduler.set_policies({{"queue", policy}});
     for (std::uint32_t i = 0; i < workers; ++i)
       m_scheduler.worker_entry(worker(i), m_now);
-    answer_all();
+    answer_due_holds();
     settle();
     for (std::uint32_t i = 0; i < workers; ++i)
       m_scheduler.add_job(job("running-" + std::to_string(i), tasks, 1000), m_now);
     for (std::uint32_t i = 0; i < (advice ? 200U : 1U); ++i)
       settle();
-    answer_all();
+    answer_due_holds();
     for (std::uint32_t i = 0; i < waiting; ++i)
       m_scheduler.add_job(job("waiting-" + std::to_string(i), 1, advice ? 14500 : 16500), m_now);
     settle();
   }
 
-  // The processor time of a pass, in microseconds; `with_end`: after the end of a task.
+  // Runs one pass, after the end of a task if `with_end`. Returns its elapsed time in microseconds.
   double pass(bool with_end)
   {
     m_now += std::chrono::milliseconds{1};
     if (with_end && !m_started.empty())
       end_one();
-    const auto begun = wall_clock::now();
+    const auto started_at = wall_clock::now();
     m_scheduler.tick(m_now);
     m_scheduler.has_changes(m_now);
-    const auto took = wall_clock::now() - begun;
+    const auto elapsed = wall_clock::now() - started_at;
     take_commands();
-    return std::chrono::duration<double, std::micro>(took).count();
+    return std::chrono::duration<double, std::micro>(elapsed).count();
   }
 
 private:
@@ -105,20 +106,20 @@
 
   void take_commands()
   {
-    for (command& each : m_scheduler.take_commands())
+    for (command& issued : m_scheduler.take_commands())
     {
-      if (auto* start = std::get_if<start_command>(&each))
+      if (auto* start = std::get_if<start_command>(&issued))
         m_started.push_back(std::move(*start));
-      else if (const auto* asked = std::get_if<advice_command>(&each))
-        advise(*asked);
+      else if (const auto* query = std::get_if<advice_command>(&issued))
+        advise(*query);
     }
   }
 
-  void advise(const advice_command& asked)
+  void advise(const advice_command& query)
   {
-    advice_answer answer{asked.step, asked.workers, true, {}, milliseconds{2000}, m_now};
-    for (std::size_t i = 0; i < asked.workers.size(); i += 2)
-      answer.permitted.push_back({asked.workers[i], "ticket"});
+    advice_answer answer{query.step, query.workers, true, {}, milliseconds{2000}, m_now};
+    for (std::size_t i = 0; i < query.workers.size(); i += 2)
+      answer.permitted.push_back({query.workers[i], "ticket"});
     m_scheduler.advice_answered(answer, m_now);
   }
 
@@ -133,16 +134,16 @@
     }
   }
 
-  // Answers the holds that are due, with nothing ended.
-  void answer_all()
+  // Answers the holds that are due, without reporting an ended run.
+  void answer_due_holds()
   {
     std::map<worker_id, std::vector<listed_run>> running;
-    for (const start_command& each : m_started)
-      running[each.worker].push_back({each.task, each.run, {}, 0, 0});
+    for (const start_command& start : m_started)
+      running[start.worker].push_back({start.task, start.run, {}, 0, 0});
     m_scheduler.tick(m_now);
-    for (const command& each : m_scheduler.take_commands())
+    for (const command& issued : m_scheduler.take_commands())
     {
-      if (const auto* hold = std::get_if<hold_command>(&each))
+      if (const auto* hold = std::get_if<hold_command>(&issued))
       {
         hold_answer answer{hold->worker, call_end::done, worker_clock_time(1000), 0, {}, {}, m_now};
         answer.running = running[hold->worker];
--- a/Source/Benchmarks/SchedulerBenchmark.cpp
+++ b/Source/Benchmarks/SchedulerBenchmark.cpp
@@ -1,8 +1,9 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The decision core alone on one core: placements a second, time of one decision, memory, and the
-// sizes of what it exchanges. Each line of output is one JSON object, for Tools/bench.
+// Measures the decision core by itself on one core: placements per second, time per decision,
+// memory use, and the sizes of the messages that it exchanges. Each line of output is one JSON
+// object, for Tools/bench.
 
 #include <algorithm>
 #include <chrono>
@@ -39,7 +40,7 @@
   --tasks N    placements to measure [default: 20000]
 )";
 
-std::string document_of(std::size_t workers, std::size_t teams)
+std::string make_document(std::size_t workers, std::size_t teams)
 {
   json document;
   document["cell"]["interactive_headroom"] = 0.0;
@@ -73,11 +74,11 @@
   return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE)) / 1024;
 }
 
-// The scheduler with workers that do what they are told at once.
-class bench
+// The scheduler, with simulated workers that carry out each request at once.
+class scheduler_bench
 {
 public:
-  bench(const cell_config& cell, std::size_t teams)
+  scheduler_bench(const cell_config& cell, std::size_t teams)
       : m_scheduler({zone_id{"z"}, 0}, m_options, k_yardhill_policy, m_metrics),
         m_teams(teams),
         m_cell(cell)
@@ -94,20 +95,21 @@
     }
   }
 
-  // One task from submission to the worker's acceptance; returns the time of the decision.
+  // Takes one task from its submission to the worker's acceptance. Returns the time that the
+  // decision took.
   std::chrono::nanoseconds place_one()
   {
     m_now += std::chrono::microseconds{50};
     task_spec spec = task_of(m_cell.workloads[m_random() % (m_teams * 2)]);
     spec.id = make_task_id(spec.workload, "z~" + std::to_string(++m_sent));
-    const auto began = wall_clock::now();
+    const auto started_at = wall_clock::now();
     m_scheduler.submit(spec, true, {{}, m_sent}, m_now);
     m_scheduler.advance(m_now);
     const scheduler_output out = m_scheduler.take_output();
-    const auto took = wall_clock::now() - began;
+    const auto elapsed = wall_clock::now() - started_at;
     for (const worker_start& start : out.starts)
       accept(start);
-    return took;
+    return elapsed;
   }
 
   void end_one()
@@ -122,23 +124,23 @@
     ended.result = attempt_result::done;
     ended.body = "result";
     running.pop_back();
-    --m_count;
+    --m_running_count;
     report(worker, {ended});
     m_scheduler.advance(m_now);
     for (const worker_start& start : m_scheduler.take_output().starts)
       accept(start);
   }
 
-  // A worker's report without news.
+  // Reports from a random worker without any change.
   void report_idle() { report(m_ids[m_random() % m_ids.size()], {}); }
 
-  std::size_t running() const { return m_count; }
+  std::size_t running() const { return m_running_count; }
 
 private:
   void accept(const worker_start& start)
   {
     m_running[start.worker].push_back(start.order.id);
-    ++m_count;
+    ++m_running_count;
     start_answer answer;
     answer.moment = ++m_moment;
     answer.results.push_back({start.order.id, start_refusal::none});
@@ -147,14 +149,14 @@
 
   void report(const worker_id& worker, std::vector<ended_attempt> ended)
   {
-    claim_answer news;
-    news.accepted = true;
-    news.boot = "boot";
-    news.moment = ++m_moment;
+    claim_answer update;
+    update.accepted = true;
+    update.boot = "boot";
+    update.moment = ++m_moment;
     for (const attempt_id& id : m_running[worker])
-      news.running.push_back({id, {}});
-    news.ended = std::move(ended);
-    m_scheduler.worker_news(worker, news, false, m_now);
+      update.running.push_back({id, {}});
+    update.ended = std::move(ended);
+    m_scheduler.worker_news(worker, update, false, m_now);
   }
 
   scheduling_options m_options;
@@ -169,7 +171,7 @@
   std::map<worker_id, std::uint64_t> m_sequences;
   std::uint64_t m_moment = 1;
   std::uint64_t m_sent = 0;
-  std::size_t m_count = 0;
+  std::size_t m_running_count = 0;
 };
 
 double microseconds(std::chrono::nanoseconds value)
@@ -206,32 +208,32 @@
   const std::size_t teams = number("--teams");
   const std::size_t tasks = number("--tasks");
 
-  const std::string document = document_of(workers, teams);
+  const std::string document = make_document(workers, teams);
   problem_list problems;
-  const auto parse_began = wall_clock::now();
+  const auto parse_started_at = wall_clock::now();
   const cell_config cell = parse_cell_config({{"bench", document}}, problems).value();
-  const auto parse_took = wall_clock::now() - parse_began;
+  const auto parse_elapsed = wall_clock::now() - parse_started_at;
 
   const std::size_t before_kib = resident_kib();
-  bench core(cell, teams);
+  scheduler_bench core(cell, teams);
   const std::size_t empty_kib = resident_kib();
   while (core.running() < running)
     core.place_one();
   const std::size_t full_kib = resident_kib();
 
   std::vector<std::chrono::nanoseconds> decisions;
-  const auto began = wall_clock::now();
+  const auto started_at = wall_clock::now();
   for (std::size_t task = 0; task < tasks; ++task)
   {
     core.end_one();
     decisions.push_back(core.place_one());
   }
-  const auto took = wall_clock::now() - began;
+  const auto elapsed = wall_clock::now() - started_at;
 
-  const auto reports_began = wall_clock::now();
+  const auto reports_started_at = wall_clock::now();
   for (std::size_t report = 0; report < tasks; ++report)
     core.report_idle();
-  const auto reports_took = wall_clock::now() - reports_began;
+  const auto reports_elapsed = wall_clock::now() - reports_started_at;
 
   std::ranges::sort(decisions);
   json out = claim_sizes();
@@ -239,17 +241,17 @@
               {"running", running},
               {"teams", teams},
               {"placements_per_second",
-               static_cast<double>(tasks) / std::chrono::duration<double>(took).count()},
+               static_cast<double>(tasks) / std::chrono::duration<double>(elapsed).count()},
               {"decision_p50_us", microseconds(decisions[decisions.size() / 2])},
               {"decision_p99_us", microseconds(decisions[decisions.size() * 99 / 100])},
               {"decision_max_us", microseconds(decisions.back())},
-              {"idle_report_us", microseconds(reports_took) / static_cast<double>(tasks)},
+              {"idle_report_us", microseconds(reports_elapsed) / static_cast<double>(tasks)},
               {"bytes_per_running_task_resident",
                static_cast<double>(full_kib - empty_kib) * 1024 / static_cast<double>(running)},
               {"bytes_per_worker_resident",
                static_cast<double>(empty_kib - before_kib) * 1024 / static_cast<double>(workers)},
               {"config_bytes", document.size()},
-              {"config_parse_us", microseconds(parse_took)}});
+              {"config_parse_us", microseconds(parse_elapsed)}});
   std::printf("%s\n", out.dump().c_str());
   return 0;
 }
