--- a/Source/StandIns/CellStandIn.h
+++ b/Source/StandIns/CellStandIn.h
@@ -11,10 +11,10 @@
 // Calls by which tests control the simulation (admin address; bodies are JSON):
 //   PUT  /configuration         stores the body unchanged as the operator's configuration row
 //   POST /jobs/ID               announces a job; the body is the one that will be submitted
-//   POST /jobs/ID/answers/N     its caller was answered with HTTP status N
-//   POST /jobs/ID/states/NAME   its caller was shown the state NAME
-//   POST /jobs/ID/cancel        its caller has begun to request the cancellation
-//   POST /jobs/ID/cancelled     its caller was answered that the job is cancelled
+//   POST /jobs/ID/answers/N     the job's caller was answered with HTTP status N
+//   POST /jobs/ID/states/NAME   the job's caller was shown the state NAME
+//   POST /jobs/ID/cancel        the job's caller has begun to request the cancellation
+//   POST /jobs/ID/cancelled     the job's caller was answered that the job is cancelled
 //   PUT  /store/FAULT           works | unavailable | silent | loses_answers
 //   PUT  /store/slow/MS         each transaction takes MS milliseconds; 0: no delay
 //   PUT  /store/limited/N       calls beyond N a second get status 429; 0: no limit
--- a/Source/StandIns/WorkerStandIn.cpp
+++ b/Source/StandIns/WorkerStandIn.cpp
@@ -94,10 +94,10 @@
       m_workers.push_back(std::make_unique<hosted_worker>(config, options, next_boot()));
     for (const auto& worker : m_workers)
     {
-      hosted_worker* served = worker.get();
-      served->server = std::make_unique<http_server>(parse_port(served->model.config().address),
-                                                     [this, served](const http_request& request)
-                                                     { handle(*served, request); });
+      hosted_worker* hosted = worker.get();
+      hosted->server = std::make_unique<http_server>(parse_port(hosted->model.config().address),
+                                                     [this, hosted](const http_request& request)
+                                                     { handle(*hosted, request); });
     }
     m_admin = std::make_unique<http_server>(admin_port, [this](const http_request& request)
                                             { handle_admin(request); });
--- a/Source/Yardhill/Job.cpp
+++ b/Source/Yardhill/Job.cpp
@@ -54,7 +54,7 @@
 
 // Limits on the calls that are in flight to one instance, on the calls queued for it, and on the
 // bytes of an answer.
-constexpr http::client_options k_connections{32, 20000, std::size_t{1} << 20U};
+constexpr http::client_options k_client_options{32, 20000, std::size_t{1} << 20U};
 constexpr common::duration k_request_timeout = std::chrono::seconds{3};
 
 using parsed_arguments = std::map<std::string, docopt::value>;
@@ -147,7 +147,7 @@
   const common::endpoint to = parse_addresses(parsed).front();
   const std::string id = parsed.at("pending").asBool() ? std::string() : given_or_new_id(parsed);
   boost::asio::io_context io(1);
-  http::http_client http(io, k_connections);
+  http::http_client http(io, k_client_options);
   adapter::caller_client caller(http);
   adapter::caller_answer answer;
   const auto on_answer = [&answer](const adapter::caller_answer& received) { answer = received; };
@@ -169,7 +169,7 @@
   const std::vector<load::planned_job> plan = make_plan(parsed, yard);
   boost::asio::io_context io(1);
   node::asio_timekeeper time(io);
-  http::http_client http(io, k_connections);
+  http::http_client http(io, k_client_options);
   adapter::caller_client caller(http);
   load::load_runner runner(time, caller, yard, parse_addresses(parsed), {});
   runner.play(plan, [&io] { io.stop(); });
--- a/Source/Yardhill/Tasks.cpp
+++ b/Source/Yardhill/Tasks.cpp
@@ -112,11 +112,11 @@
 {
   const auto parsed = docopt::docopt(k_status_usage, args, true);
   instance_client client(parsed.at("--url").asString());
-  const bool of_task = static_cast<bool>(parsed.at("<task>"));
+  const bool names_task = static_cast<bool>(parsed.at("<task>"));
   const std::string path =
-      of_task ? "/v1/tasks/" + parsed.at("<task>").asString() : std::string("/v1/status");
+      names_task ? "/v1/tasks/" + parsed.at("<task>").asString() : std::string("/v1/status");
   const instance_answer answer = client.call(methods::GET, path);
-  if (of_task)
+  if (names_task)
     print_as_json(answer);
   else
     print_bytes(answer.body);
