--- a/Source/StandIns/PlatformStandIn.cpp
+++ b/Source/StandIns/PlatformStandIn.cpp
@@ -14,7 +14,7 @@
 #include <nlohmann/json.hpp>
 
 #include "Platform/TableProtocol.h"
-#include "StandIns/HttpHelp.h"
+#include "StandIns/StandInHttp.h"
 
 namespace yardhill::stand_ins
 {
--- a/Source/StandIns/HttpHelp.cpp
+++ b/Source/StandIns/StandInHttp.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "StandIns/HttpHelp.h"
+#include "StandIns/StandInHttp.h"
 
 #include <chrono>
 #include <memory>
--- a/Source/StandIns/WorkerStandIn.cpp
+++ b/Source/StandIns/WorkerStandIn.cpp
@@ -17,7 +17,7 @@
 #include "Common/InstanceSettings.h"
 #include "Common/Json.h"
 #include "Replay/WorkerModel.h"
-#include "StandIns/HttpHelp.h"
+#include "StandIns/StandInHttp.h"
 #include "Target/WorkerClient.h"
 
 namespace yardhill::stand_ins
