--- a/Source/StandIns/WorkerStandIn.cpp
+++ b/Source/StandIns/WorkerStandIn.cpp
@@ -198,7 +198,7 @@
     std::erase_if(worker.pending_claims,
                   [&](const pending_claim& pending)
                   {
-                    if (now < pending.until && !worker.model.has_news_for(pending.claim))
+                    if (now < pending.until && !worker.model.has_update_for(pending.claim))
                       return false;
                     reply(pending.request, status_codes::OK,
                           to_json_text(worker.model.answer(pending.claim, now)));
