--- a/Source/Core/Gateway/HttpGateway.cpp
+++ b/Source/Core/Gateway/HttpGateway.cpp
@@ -270,7 +270,7 @@
 
   void drain(const http_request& request)
   {
-    m_backend.deliver(instance::stop_asked{});
+    m_backend.deliver(instance::stop_requested{});
     reply_text(request, status_codes::Accepted, "{\"code\":\"stopping\"}\n", k_json);
   }
 
--- a/Source/Core/Instance/InstanceCore.cpp
+++ b/Source/Core/Instance/InstanceCore.cpp
@@ -99,7 +99,7 @@
     home->second.write_answered(write, now);
 }
 
-void instance_core::handle(const stop_asked& /*asked*/, time_point now)
+void instance_core::handle(const stop_requested& /*asked*/, time_point now)
 {
   if (std::exchange(m_stopping, true))
     return;
@@ -109,7 +109,7 @@
   m_next_beat = now; // the peers learn at once
 }
 
-void instance_core::handle(const timer_passed& /*passed*/, time_point /*now*/) {}
+void instance_core::handle(const timer_expired& /*passed*/, time_point /*now*/) {}
 
 void instance_core::receive(const instance_id& peer, const heartbeat& message, time_point now)
 {
--- a/Source/Core/Instance/InstanceCore.h
+++ b/Source/Core/Instance/InstanceCore.h
@@ -36,7 +36,7 @@
                 const decision::placement_policy& policy, metrics& counts, time_point now);
 
   std::vector<command> step(const event& what, time_point now);
-  // When step() wants to be called with timer_passed, if nothing happens before.
+  // When step() wants to be called with timer_expired, if nothing happens before.
   time_point next_timer() const;
 
   // --- for status pages and tests ---
@@ -64,8 +64,8 @@
   void handle(const claim_returned& returned, time_point now);
   void handle(const start_returned& returned, time_point now);
   void handle(const store_returned& returned, time_point now);
-  void handle(const stop_asked& asked, time_point now);
-  void handle(const timer_passed& passed, time_point now);
+  void handle(const stop_requested& asked, time_point now);
+  void handle(const timer_expired& passed, time_point now);
 
   // Advice is the business of instances on the platform.
   void receive(const instance_id&, const advice_request&, time_point) {}
--- a/Source/Core/Instance/InstanceEvents.h
+++ b/Source/Core/Instance/InstanceEvents.h
@@ -92,15 +92,15 @@
 };
 
 // SIGTERM: a planned stop.
-struct stop_asked
+struct stop_requested
 {
 };
 
-struct timer_passed
+struct timer_expired
 {
 };
 
 using event =
     std::variant<caller_request, apply_request, peer_linked, peer_unlinked, peer_received,
-                 claim_returned, start_returned, store_returned, stop_asked, timer_passed>;
+                 claim_returned, start_returned, store_returned, stop_requested, timer_expired>;
 } // namespace yardhill::instance
--- a/Source/Core/Replay/VirtualCell.cpp
+++ b/Source/Core/Replay/VirtualCell.cpp
@@ -89,7 +89,7 @@
                                              m_zones.at(name)};
   m_instances[name] =
       std::make_unique<live_instance>(name, life, identity, m_options, m_metrics, now());
-  step(*m_instances[name], instance::timer_passed{});
+  step(*m_instances[name], instance::timer_expired{});
   for (const auto& [other, zone] : m_zones)
   {
     if (other == name || living(other) == nullptr)
@@ -168,7 +168,7 @@
            now_there->paused)
          return;
        now_there->timer = k_never;
-       deliver(name, life, instance::timer_passed{});
+       deliver(name, life, instance::timer_expired{});
      });
 }
 
--- a/Source/Core/Replay/VirtualCellActions.cpp
+++ b/Source/Core/Replay/VirtualCellActions.cpp
@@ -103,7 +103,7 @@
 void virtual_cell::stop(const trace_action& what)
 {
   if (live_instance* instance = living(what.who))
-    deliver(what.who, instance->life, instance::stop_asked{});
+    deliver(what.who, instance->life, instance::stop_requested{});
 }
 
 void virtual_cell::pause(const trace_action& what)
@@ -112,7 +112,7 @@
   if (instance == nullptr || instance->paused)
     return;
   instance->paused = true;
-  step(*instance, instance::timer_passed{}); // what it decided last is not sent yet
+  step(*instance, instance::timer_expired{}); // what it decided last is not sent yet
 }
 
 void virtual_cell::resume_paused(const trace_action& what)
--- a/Source/Core/Service/EventLoop.cpp
+++ b/Source/Core/Service/EventLoop.cpp
@@ -59,7 +59,7 @@
 {
   while (true)
   {
-    instance::event next = instance::timer_passed{};
+    instance::event next = instance::timer_expired{};
     {
       std::unique_lock hold(m_queue_lock);
       if (m_queue.empty() && !m_ending)
--- a/Source/Core/Service/InstanceService.cpp
+++ b/Source/Core/Service/InstanceService.cpp
@@ -85,7 +85,7 @@
 
 void instance_service::stop()
 {
-  m_loop.deliver(instance::stop_asked{});
+  m_loop.deliver(instance::stop_requested{});
 }
 
 void instance_service::poll_instances()
