--- a/Source/Core/Instance/ConfigKeeper.h
+++ b/Source/Core/Instance/ConfigManager.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// The configuration in force at this instance: polled from the table service, learned from peers,
-// applied for operators. Its version only ever grows.
+// The configuration in force at this instance. It is polled from the table service, received from
+// peers and applied on behalf of operators. Its version never decreases.
 
 #include <cstdint>
 #include <deque>
@@ -24,31 +24,31 @@
 {
   std::optional<ownership::store_call> call;
   std::vector<answer_apply> answers;
-  bool changed = false;      // another version is in force now
-  bool applied_here = false; // and it came from an operator of this instance: tell the peers
+  bool changed = false;         // a newer version came into force
+  bool applied_locally = false; // it was applied through this instance: push it to the peers
 };
 
-// An operator's apply, remembered so that the same one sent again is not applied twice.
-struct past_apply
+// An operator's apply request, recorded so that a repeat of the same request is not applied twice.
+struct recorded_apply
 {
   std::string id;
   std::uint64_t version = 0;
 };
 
-// The row that names the version in force.
+// The table row that names the version in force.
 struct config_head
 {
   std::uint64_t version = 0;
-  std::vector<past_apply> applies; // the latest ones
+  std::vector<recorded_apply> applies; // the most recent ones
 };
 
-class config_keeper
+class config_manager
 {
 public:
-  config_keeper(const ownership_options& options, metrics& counts);
+  config_manager(const ownership_options& options, metrics& counts);
 
-  // A peer's version; taken when it is higher. Malformed documents are ignored.
-  void offered(std::uint64_t version, const std::string& document);
+  // Adopts a peer's version if it is higher than this instance's. Malformed documents are ignored.
+  void receive_peer_version(std::uint64_t version, const std::string& document);
   void apply(const apply_request& request, time_point now);
 
   void read_answered(const store_read_result& result, time_point now);
@@ -70,20 +70,20 @@
     writing
   };
 
-  struct waiting_apply
+  struct pending_apply
   {
     apply_request request;
-    time_point give_up;
+    time_point timeout_at;
     bool maybe_written = false;
   };
 
-  bool take(std::uint64_t version, const std::string& document);
-  void head_was_read(const store_read_result& result, time_point now);
-  void document_was_read(const store_read_result& result, time_point now);
+  bool adopt(std::uint64_t version, const std::string& document);
+  void handle_head_read(const store_read_result& result, time_point now);
+  void handle_document_read(const store_read_result& result, time_point now);
   void try_apply(time_point now);
   void write_config();
-  void answer_first(apply_outcome result, std::vector<std::string> problems);
-  void failed(time_point now);
+  void reply_to_first_apply(apply_outcome result, std::vector<std::string> problems);
+  void retry_later(time_point now);
   void call(ownership::store_call request, step next);
 
   const ownership_options& m_options;
@@ -92,10 +92,10 @@
   std::string m_document;
   step m_step = step::none;
   time_point m_next_poll{};
-  std::uint64_t m_head_row = 0; // version of the table's row
-  std::uint64_t m_head = 0;     // the configuration version that it names
-  std::vector<past_apply> m_past;
-  std::deque<waiting_apply> m_applies;
+  std::uint64_t m_head_row_version = 0; // the table service's version of the head row
+  std::uint64_t m_head_version = 0;     // the configuration version that the head row names
+  std::vector<recorded_apply> m_recorded_applies;
+  std::deque<pending_apply> m_pending_applies;
   std::uint32_t m_failures = 0;
   config_output m_output;
 };
--- a/Source/Core/Instance/InstanceCommands.h
+++ b/Source/Core/Instance/InstanceCommands.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What the instance's core wants its shells to do.
+// Commands from the instance's core to the code around it that does the I/O.
 
 #include <cstdint>
 #include <string>
@@ -31,7 +31,7 @@
 {
   applied,
   conflict,    // another version was applied since `base`
-  invalid,     // the document has mistakes
+  invalid,     // the document has errors
   unavailable, // certainly not applied
   unclear
 };
@@ -40,8 +40,9 @@
 {
   std::uint64_t number = 0;
   apply_outcome result = apply_outcome::unclear;
-  std::uint64_t version = 0;         // in force now, as far as is known
-  std::vector<std::string> problems; // mistakes, or the fields in which a conflict differs
+  std::uint64_t version = 0; // the version in force as far as this instance knows
+  std::vector<std::string>
+      problems; // errors in the document, or the fields that differ on a conflict
 };
 
 struct send_to_peer
@@ -62,7 +63,7 @@
   worker_id worker;
   std::string address;
   start_request request;
-  time_point not_after; // past this the shell reports it as unsent
+  time_point not_after; // after this the request is not sent but reported as unsent
 };
 
 struct send_stop
@@ -94,7 +95,7 @@
   std::string detail;
 };
 
-// The planned stop is complete: nothing of any caller is left here.
+// The planned stop is complete: no request of any caller is pending at this instance.
 struct stop_complete
 {
 };
--- a/Source/Core/Instance/InstanceCore.cpp
+++ b/Source/Core/Instance/InstanceCore.cpp
@@ -10,8 +10,8 @@
 {
 namespace
 {
-// Peers of other zones get one heartbeat in this many.
-constexpr std::uint32_t k_far_beats = 4;
+// Peers in other zones get one heartbeat for this many that go to peers in the own zone.
+constexpr std::uint32_t k_remote_zone_heartbeat_divisor = 4;
 } // namespace
 
 instance_core::instance_core(const instance_identity& identity, const core_options& options,
@@ -27,9 +27,9 @@
 {
 }
 
-std::vector<command> instance_core::step(const event& what, time_point now)
+std::vector<command> instance_core::step(const event& incoming, time_point now)
 {
-  std::visit([this, now](const auto& each) { handle(each, now); }, what);
+  std::visit([this, now](const auto& each) { handle(each, now); }, incoming);
   advance(now);
   return std::exchange(m_commands, {});
 }
@@ -67,13 +67,13 @@
 void instance_core::handle(const claim_returned& returned, time_point now)
 {
   if (partition_home* home = home_of_worker(returned.worker))
-    home->claim_came_back(returned, now);
+    home->handle_claim_result(returned, now);
 }
 
 void instance_core::handle(const start_returned& returned, time_point now)
 {
   if (partition_home* home = home_of_worker(returned.worker))
-    home->start_came_back(returned, now);
+    home->handle_start_result(returned, now);
 }
 
 void instance_core::handle(const store_returned& returned, time_point now)
@@ -106,14 +106,14 @@
   m_router.stop();
   for (auto& [id, home] : m_homes)
     home.begin_stop();
-  m_next_beat = now; // the peers learn at once
+  m_next_heartbeat = now; // tell the peers at once that this instance is leaving
 }
 
 void instance_core::handle(const timer_expired& /*passed*/, time_point /*now*/) {}
 
 void instance_core::receive(const instance_id& peer, const heartbeat& message, time_point now)
 {
-  if (!m_peers.heard(peer, message, now))
+  if (!m_peers.record_heartbeat(peer, message, now))
     return;
   for (const owned_partition& owned : message.owned)
   {
@@ -138,7 +138,7 @@
 void instance_core::receive(const instance_id& /*peer*/, const config_push& message,
                             time_point /*now*/)
 {
-  m_config.offered(message.version, message.document);
+  m_config.receive_peer_version(message.version, message.document);
 }
 
 void instance_core::receive(const instance_id& peer, const config_pull& /*message*/,
@@ -160,23 +160,23 @@
 
 void instance_core::advance(time_point now)
 {
-  carry_config(now);
+  advance_config(now);
   bool more = true;
   while (more)
   {
     m_router.advance(now);
-    more = carry_homes(now);
+    more = advance_homes(now);
   }
-  if (now >= m_next_beat)
+  if (now >= m_next_heartbeat)
     send_heartbeats(now);
   for (command& each : m_router.take_commands())
     m_commands.push_back(std::move(each));
   if (m_stopping)
-    carry_stop(now);
+    advance_stop(now);
   set_gauges();
 }
 
-void instance_core::carry_config(time_point now)
+void instance_core::advance_config(time_point now)
 {
   m_config.advance(now);
   config_output out = m_config.take_output();
@@ -194,7 +194,7 @@
                 0,
                 "version " + std::to_string(m_config.version()) + " is in force"});
   configure_homes(now);
-  if (!out.applied_here)
+  if (!out.applied_locally)
     return;
   for (const auto& [peer, entry] : m_peers.all())
     m_commands.emplace_back(
@@ -211,7 +211,7 @@
     const partition_id partition{zone->id, index};
     m_homes.try_emplace(partition, partition, m_identity.id, m_options, m_policy, m_metrics, now);
   }
-  // Workers that are no longer declared stay known: calls to them may still come back.
+  // Workers that are no longer declared stay in the map: results of calls to them may still arrive.
   for (const worker_config& worker : zone->workers)
     m_worker_homes[worker.id] = {zone->id, worker.partition};
   for (auto& [partition, home] : m_homes)
@@ -222,7 +222,7 @@
   }
 }
 
-bool instance_core::carry_homes(time_point now)
+bool instance_core::advance_homes(time_point now)
 {
   bool any_reply = false;
   for (auto& [partition, home] : m_homes)
@@ -237,8 +237,8 @@
     for (const decision::caller_reply& reply : out.replies)
       m_router.home_replied(reply, now);
     any_reply = any_reply || !out.replies.empty();
-    if (out.gained)
-      m_next_beat = now; // those who wait for an owner learn at once
+    if (out.ownership_gained)
+      m_next_heartbeat = now; // tell peers that wait for an owner at once
   }
   return any_reply;
 }
@@ -265,21 +265,23 @@
 
 void instance_core::send_heartbeats(time_point now)
 {
-  m_next_beat = now + m_options.ownership.heartbeat_period;
-  // Their answers may be lost one way while the connections seem to stand.
+  m_next_heartbeat = now + m_options.ownership.heartbeat_period;
+  // Requests forwarded to a peer that fell silent are routed again: replies may be lost in one
+  // direction while the connections still look established.
   for (const instance_id& silent : m_peers.newly_silent(now))
     m_router.peer_silent(silent, now);
-  const bool far = m_beats++ % k_far_beats == 0;
+  const bool to_remote_zones = m_heartbeat_rounds++ % k_remote_zone_heartbeat_divisor == 0;
   const heartbeat beat = own_heartbeat();
   for (const auto& [peer, entry] : m_peers.all())
   {
-    if (far || m_peers.in_own_zone(entry))
+    if (to_remote_zones || m_peers.in_own_zone(entry))
       m_commands.emplace_back(send_to_peer{peer, beat});
   }
 }
 
-// Hands each partition to the peer that is first in line, then waits for what callers still await.
-void instance_core::carry_stop(time_point now)
+// Hands each partition over to its successor, then waits until no request is pending. Without a
+// successor, a partition is released once its scheduler is idle.
+void instance_core::advance_stop(time_point now)
 {
   bool owns_any = false;
   for (auto& [partition, home] : m_homes)
@@ -294,22 +296,22 @@
     }
     if (!successor && !home.scheduler().idle())
     {
-      owns_any = true; // alone in its zone: finish what runs
+      owns_any = true; // no other instance in the zone: finish the running tasks first
       continue;
     }
     const term_number term = home.term();
-    home.give_up(now);
+    home.release_ownership(now);
     if (successor)
       m_commands.emplace_back(send_to_peer{*successor, handover{partition, term}});
-    m_next_beat = now;
+    m_next_heartbeat = now;
   }
-  carry_homes(now);
+  advance_homes(now);
   m_router.advance(now);
   for (command& each : m_router.take_commands())
     m_commands.push_back(std::move(each));
-  if (owns_any || m_router.pending() > 0 || m_stop_told)
+  if (owns_any || m_router.pending() > 0 || m_stop_reported)
     return;
-  m_stop_told = true;
+  m_stop_reported = true;
   m_commands.emplace_back(stop_complete{});
 }
 
@@ -355,7 +357,7 @@
 
 time_point instance_core::next_timer() const
 {
-  time_point next = std::min({m_next_beat, m_config.next_timer(), m_router.next_timer()});
+  time_point next = std::min({m_next_heartbeat, m_config.next_timer(), m_router.next_timer()});
   for (const auto& [partition, home] : m_homes)
     next = std::min(next, home.next_timer());
   return next;
--- a/Source/Core/Instance/InstanceCore.h
+++ b/Source/Core/Instance/InstanceCore.h
@@ -14,11 +14,11 @@
 
 #include "Common/Metrics.h"
 #include "Common/Options.h"
-#include "Instance/ConfigKeeper.h"
+#include "Instance/ConfigManager.h"
 #include "Instance/InstanceCommands.h"
 #include "Instance/InstanceEvents.h"
 #include "Instance/PartitionHome.h"
-#include "Instance/PeerBook.h"
+#include "Instance/PeerRegistry.h"
 #include "Instance/RequestRouter.h"
 
 namespace yardhill::instance
@@ -35,17 +35,17 @@
   instance_core(const instance_identity& identity, const core_options& options,
                 const decision::placement_policy& policy, metrics& counts, time_point now);
 
-  std::vector<command> step(const event& what, time_point now);
-  // When step() wants to be called with timer_expired, if nothing happens before.
+  std::vector<command> step(const event& incoming, time_point now);
+  // The time at which to call step() with timer_expired unless another event comes first.
   time_point next_timer() const;
 
   // --- for status pages and tests ---
-  const config_keeper& config() const { return m_config; }
+  const config_manager& config() const { return m_config; }
   const std::map<partition_id, partition_home>& homes() const { return m_homes; }
-  const peer_book& peers() const { return m_peers; }
+  const peer_registry& peers() const { return m_peers; }
   bool stopping() const { return m_stopping; }
-  // Whether requests can be served: a configuration is in force, and the zone's partitions have
-  // owners that this instance knows of.
+  // Whether the instance can serve requests: a configuration is in force, the instance is not
+  // stopping, and it knows an owner for each of its zone's partitions.
   bool ready(time_point now) const;
 
 private:
@@ -67,7 +67,8 @@
   void handle(const stop_requested& asked, time_point now);
   void handle(const timer_expired& passed, time_point now);
 
-  // Advice is the business of instances on the platform.
+  // Messages of the advice protocol, which only instances on the platform handle; this core
+  // ignores them.
   void receive(const instance_id&, const advice_request&, time_point) {}
   void receive(const instance_id&, const advice_reply&, time_point) {}
   void receive(const instance_id&, const relay_request&, time_point) {}
@@ -88,13 +89,13 @@
   void receive(const instance_id& peer, const handover& message, time_point now);
 
   void advance(time_point now);
-  void carry_config(time_point now);
-  bool carry_homes(time_point now);
+  void advance_config(time_point now);
+  bool advance_homes(time_point now);
   void configure_homes(time_point now);
   void answer_reply(const decision::caller_reply& reply, time_point now);
   void send_heartbeats(time_point now);
   heartbeat own_heartbeat() const;
-  void carry_stop(time_point now);
+  void advance_stop(time_point now);
   void call_store(const call_owner& owner, ownership::store_call request);
   partition_home* home_of_worker(const worker_id& worker);
   void set_gauges();
@@ -103,17 +104,17 @@
   core_options m_options;
   const decision::placement_policy& m_policy;
   metrics& m_metrics;
-  config_keeper m_config;
-  peer_book m_peers;
+  config_manager m_config;
+  peer_registry m_peers;
   std::map<partition_id, partition_home> m_homes;
   request_router m_router;
   std::unordered_map<worker_id, partition_id> m_worker_homes;
   std::unordered_map<std::uint64_t, call_owner> m_calls;
   std::uint64_t m_next_call = 1;
-  time_point m_next_beat{};
-  std::uint32_t m_beats = 0;
+  time_point m_next_heartbeat{};
+  std::uint32_t m_heartbeat_rounds = 0;
   bool m_stopping = false;
-  bool m_stop_told = false;
+  bool m_stop_reported = false;
   std::vector<command> m_commands;
 };
 } // namespace yardhill::instance
--- a/Source/Core/Instance/InstanceEvents.h
+++ b/Source/Core/Instance/InstanceEvents.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What the shells around the instance's core tell it.
+// Events that the code around the instance's core passes in: requests, messages, results, timers.
 
 #include <cstdint>
 #include <optional>
@@ -22,35 +22,37 @@
 {
 using namespace common;
 
-// A caller of this instance. The number is the gateway's and comes back with the answer.
+// A caller's request. The gateway chooses the number; the answer carries the same number.
 struct caller_request
 {
   std::uint64_t number = 0;
   request_purpose purpose = request_purpose::submit;
   workload_id workload;
-  std::string key; // empty: one is minted (submit only)
+  std::string key; // empty: the instance mints one (submit only)
   std::string payload;
   std::optional<duration> deadline;
-  std::optional<bool> repeatable; // may only tighten what the workload says
+  std::optional<bool>
+      repeatable; // false overrides the workload; true cannot make an unrepeatable one repeatable
   bool waits = true;
 };
 
-// An operator applies a whole configuration made from version `base`.
+// An operator applies a complete configuration that was derived from version `base`.
 struct apply_request
 {
   std::uint64_t number = 0;
   std::uint64_t base = 0;
-  std::string apply_id; // the operator's, new for each apply
+  std::string apply_id; // chosen by the operator, unique for each apply
   std::string document;
 };
 
-// The connections to and from a peer stand, or at least one of them broke.
+// The connections to and from the peer are both established.
 struct peer_linked
 {
   instance_id peer;
   zone_id zone;
 };
 
+// At least one of the connections to and from the peer broke.
 struct peer_unlinked
 {
   instance_id peer;
@@ -66,14 +68,14 @@
 {
   worker_id worker;
   claim_request request;
-  std::optional<claim_answer> answer; // none: no answer came
+  std::optional<claim_answer> answer; // nullopt: no answer arrived
   time_point sent_at;
 };
 
 enum class send_result
 {
   answered,
-  unsent, // certainly never left this process
+  unsent, // certain that the request never left this process
   unclear
 };
 
@@ -82,7 +84,7 @@
   worker_id worker;
   std::vector<attempt_id> attempts;
   send_result result = send_result::unclear;
-  start_answer answer; // with `answered`
+  start_answer answer; // valid if result is `answered`
 };
 
 struct store_returned
@@ -91,7 +93,7 @@
   std::variant<store_read_result, store_write_result> result;
 };
 
-// SIGTERM: a planned stop.
+// SIGTERM requests a planned stop.
 struct stop_requested
 {
 };
--- a/Source/Core/Instance/PartitionHome.cpp
+++ b/Source/Core/Instance/PartitionHome.cpp
@@ -65,7 +65,7 @@
   m_scheduler.status(id, from);
 }
 
-void partition_home::claim_came_back(const claim_returned& returned, time_point now)
+void partition_home::handle_claim_result(const claim_returned& returned, time_point now)
 {
   if (returned.answer)
     m_ownership.claim_answered(returned.worker, returned.request, *returned.answer,
@@ -74,9 +74,9 @@
     m_ownership.claim_failed(returned.worker, returned.request, now);
 }
 
-void partition_home::start_came_back(const start_returned& returned, time_point now)
+void partition_home::handle_start_result(const start_returned& returned, time_point now)
 {
-  --m_starts_under_way;
+  --m_starts_in_flight;
   switch (returned.result)
   {
   case send_result::answered:
@@ -111,10 +111,10 @@
 
 bool partition_home::ready_to_hand_over() const
 {
-  return m_starts_under_way == 0 && (m_store.idle() || m_store.down());
+  return m_starts_in_flight == 0 && (m_store.idle() || m_store.down());
 }
 
-void partition_home::give_up(time_point now)
+void partition_home::release_ownership(time_point now)
 {
   m_ownership.renounce(now);
 }
@@ -124,22 +124,22 @@
   bool more = true;
   while (more)
   {
-    more = carry_ownership(now);
-    more = carry_store(now) || more;
-    more = carry_scheduler(now) || more;
+    more = advance_ownership(now);
+    more = advance_store(now) || more;
+    more = advance_scheduler(now) || more;
   }
 }
 
-bool partition_home::carry_ownership(time_point now)
+bool partition_home::advance_ownership(time_point now)
 {
   m_ownership.advance(now);
   ownership::ownership_output out = m_ownership.take_output();
   if (out.lost)
-    lose();
+    end_ownership();
   if (out.wanted_term)
     m_store.want_term(*out.wanted_term);
   if (out.became_owner)
-    gain(now);
+    begin_ownership(now);
   for (const ownership::lost_worker& lost : out.lost_workers)
   {
     log(log_level::warning, "worker_lost", lost.worker.value, {}, "does not answer");
@@ -159,15 +159,15 @@
          !out.lost_workers.empty();
 }
 
-void partition_home::gain(time_point now)
+void partition_home::begin_ownership(time_point now)
 {
   log(log_level::info, "takeover", m_self.value, {}, "owns " + to_text(m_partition));
   m_scheduler.begin_term(m_ownership.term(), m_ownership.foreign_until(), now);
   m_store.begin_term(m_ownership.term());
-  m_output.gained = true;
+  m_output.ownership_gained = true;
 }
 
-void partition_home::lose()
+void partition_home::end_ownership()
 {
   log(log_level::warning, "owner_lost", m_ownership.known_owner().value, {},
       "no longer owns " + to_text(m_partition));
@@ -175,7 +175,7 @@
   m_scheduler.end_term();
 }
 
-bool partition_home::carry_store(time_point now)
+bool partition_home::advance_store(time_point now)
 {
   if (m_stopping)
     m_store.flush();
@@ -204,7 +204,7 @@
   return any;
 }
 
-bool partition_home::carry_scheduler(time_point now)
+bool partition_home::advance_scheduler(time_point now)
 {
   decision::placing_right right = decision::placing_right::none;
   if (m_ownership.owns())
@@ -243,7 +243,7 @@
     }
     start_request request{m_ownership.term(), m_self, permit->boot, permit->ticket,
                           std::move(orders)};
-    ++m_starts_under_way;
+    ++m_starts_in_flight;
     m_output.commands.emplace_back(
         send_start{worker, m_addresses[worker], std::move(request), now + m_options.ticket_life});
   }
--- a/Source/Core/Instance/PartitionHome.h
+++ b/Source/Core/Instance/PartitionHome.h
@@ -3,8 +3,7 @@
 
 #pragma once
 
-// One partition at this instance: its ownership, its rows, its scheduler, and what passes between
-// them.
+// One partition at this instance: connects its ownership, its stored records and its scheduler.
 
 #include <cstdint>
 #include <map>
@@ -23,10 +22,10 @@
 {
 struct home_output
 {
-  std::vector<command> commands; // claims, starts, stops, log lines
+  std::vector<command> commands; // claims, start and stop requests, log events
   std::vector<decision::caller_reply> replies;
   std::optional<ownership::store_call> store_call;
-  bool gained = false; // this instance owns the partition from now on
+  bool ownership_gained = false; // this instance has just become the partition's owner
 };
 
 class partition_home
@@ -51,15 +50,16 @@
   void cancel(const task_id& id, const decision::reply_address& from, time_point now);
   void status(const task_id& id, const decision::reply_address& from);
 
-  void claim_came_back(const claim_returned& returned, time_point now);
-  void start_came_back(const start_returned& returned, time_point now);
+  void handle_claim_result(const claim_returned& returned, time_point now);
+  void handle_start_result(const start_returned& returned, time_point now);
   void read_answered(const store_read_result& result, time_point now);
   void write_answered(const store_write_result& result, time_point now);
 
-  // Planned stop: places nothing more; ready_to_hand_over() tells when nothing is under way.
+  // Begins a planned stop: the scheduler places no further tasks. The partition is
+  // ready_to_hand_over() once no start request is in flight and the store is idle or down.
   void begin_stop();
   bool ready_to_hand_over() const;
-  void give_up(time_point now);
+  void release_ownership(time_point now);
 
   void advance(time_point now);
   time_point next_timer() const;
@@ -74,11 +74,11 @@
   const decision::partition_scheduler& scheduler() const { return m_scheduler; }
 
 private:
-  bool carry_ownership(time_point now);
-  bool carry_store(time_point now);
-  bool carry_scheduler(time_point now);
-  void gain(time_point now);
-  void lose();
+  bool advance_ownership(time_point now);
+  bool advance_store(time_point now);
+  bool advance_scheduler(time_point now);
+  void begin_ownership(time_point now);
+  void end_ownership();
   void send_starts(const std::vector<decision::worker_start>& starts, time_point now);
   void send_stops(const std::vector<decision::worker_stop>& stops);
   void log(log_level level, std::string step, std::string peer, const task_id& task,
@@ -91,7 +91,7 @@
   ownership::partition_store m_store;
   decision::partition_scheduler m_scheduler;
   std::map<worker_id, std::string> m_addresses;
-  std::size_t m_starts_under_way = 0;
+  std::size_t m_starts_in_flight = 0;
   bool m_stopping = false;
   home_output m_output;
 };
--- a/Source/Core/Instance/PeerBook.cpp
+++ b/Source/Core/Instance/PeerRegistry.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Instance/PeerBook.h"
+#include "Instance/PeerRegistry.h"
 
 #include <utility>
 
@@ -11,7 +11,8 @@
 {
 namespace
 {
-constexpr int k_far_factor = 4;
+// Peers in other zones get only one heartbeat in four (see InstanceCore.cpp).
+constexpr int k_remote_zone_silence_factor = 4;
 
 std::uint64_t score(const partition_id& partition, const instance_id& candidate)
 {
@@ -19,46 +20,48 @@
 }
 } // namespace
 
-peer_book::peer_book(instance_id self, zone_id zone, const ownership_options& options)
+peer_registry::peer_registry(instance_id self, zone_id zone, const ownership_options& options)
     : m_self(std::move(self)), m_zone(std::move(zone)), m_options(options)
 {
 }
 
-void peer_book::linked(const instance_id& peer, const zone_id& zone, time_point now)
+void peer_registry::linked(const instance_id& peer, const zone_id& zone, time_point now)
 {
   peer_entry& entry = m_peers[peer];
   entry.zone = zone;
   entry.last_heard = now;
 }
 
-void peer_book::unlinked(const instance_id& peer)
+void peer_registry::unlinked(const instance_id& peer)
 {
   m_peers.erase(peer);
 }
 
-bool peer_book::heard(const instance_id& peer, const heartbeat& beat, time_point now)
+bool peer_registry::record_heartbeat(const instance_id& peer, const heartbeat& message,
+                                     time_point now)
 {
   const auto found = m_peers.find(peer);
   if (found == m_peers.end())
     return false;
   found->second.last_heard = now;
   found->second.silent = false;
-  found->second.latest = beat;
+  found->second.latest = message;
   return true;
 }
 
-duration peer_book::silence_allowed(const peer_entry& peer) const
+duration peer_registry::silence_timeout(const peer_entry& peer) const
 {
-  return in_own_zone(peer) ? m_options.peer_silence : m_options.peer_silence * k_far_factor;
+  return in_own_zone(peer) ? m_options.peer_silence
+                           : m_options.peer_silence * k_remote_zone_silence_factor;
 }
 
-bool peer_book::alive(const instance_id& peer, time_point now) const
+bool peer_registry::alive(const instance_id& peer, time_point now) const
 {
   const auto found = m_peers.find(peer);
-  return found != m_peers.end() && now - found->second.last_heard <= silence_allowed(found->second);
+  return found != m_peers.end() && now - found->second.last_heard <= silence_timeout(found->second);
 }
 
-std::vector<instance_id> peer_book::newly_silent(time_point now)
+std::vector<instance_id> peer_registry::newly_silent(time_point now)
 {
   std::vector<instance_id> found;
   for (auto& [id, peer] : m_peers)
@@ -72,7 +75,8 @@
   return found;
 }
 
-std::optional<instance_id> peer_book::owner_of(const partition_id& partition, time_point now) const
+std::optional<instance_id> peer_registry::owner_of(const partition_id& partition,
+                                                   time_point now) const
 {
   std::optional<instance_id> owner;
   term_number highest = 0;
@@ -92,8 +96,8 @@
   return owner;
 }
 
-std::optional<instance_id> peer_book::any_of(const zone_id& zone, std::uint64_t seed,
-                                             time_point now) const
+std::optional<instance_id> peer_registry::any_peer_in(const zone_id& zone, std::uint64_t seed,
+                                                      time_point now) const
 {
   std::vector<instance_id> candidates;
   for (const auto& [id, peer] : m_peers)
@@ -106,7 +110,7 @@
   return candidates[seed % candidates.size()];
 }
 
-std::size_t peer_book::rank_of_self(const partition_id& partition, time_point now) const
+std::size_t peer_registry::rank_of_self(const partition_id& partition, time_point now) const
 {
   const std::uint64_t own = score(partition, m_self);
   std::size_t rank = 0;
@@ -118,7 +122,8 @@
   return rank;
 }
 
-std::optional<instance_id> peer_book::successor(const partition_id& partition, time_point now) const
+std::optional<instance_id> peer_registry::successor(const partition_id& partition,
+                                                    time_point now) const
 {
   std::optional<instance_id> best;
   for (const auto& [id, peer] : m_peers)
--- a/Source/Core/Instance/RequestRouter.cpp
+++ b/Source/Core/Instance/RequestRouter.cpp
@@ -12,14 +12,15 @@
 {
 namespace
 {
-constexpr duration k_soon = std::chrono::milliseconds{50};
-// How long after a task's deadline its home may take to say so.
+constexpr duration k_reroute_delay = std::chrono::milliseconds{50};
+// How long after a task's deadline its home may take to report that the deadline passed.
 constexpr duration k_deadline_grace = std::chrono::seconds{2};
 
-// What an entry says that has not asked the home. Only the home of a caller's key can know that it
-// was not run; an id that was minted here a moment ago is known nowhere.
-answer turn_away(const task_spec& spec, refusal_reason reason, std::string detail, std::string step,
-                 duration retry_after)
+// Answers a request that was never passed to its home. With a caller's key the answer is unclear,
+// since only the key's home can know that the task was not run. Without one the answer is a
+// refusal: the id was minted here a moment ago, so no other instance knows the id.
+answer refuse_unrouted(const task_spec& spec, refusal_reason reason, std::string detail,
+                       std::string step, duration retry_after)
 {
   if (spec.keyed)
     return unclear(spec.id, reason, std::move(detail), std::move(step), retry_after);
@@ -28,7 +29,7 @@
 } // namespace
 
 request_router::request_router(instance_id self, zone_id zone, const routing_options& options,
-                               metrics& counts, const peer_book& peers, home_map& homes)
+                               metrics& counts, const peer_registry& peers, home_map& homes)
     : m_self(std::move(self)),
       m_zone(std::move(zone)),
       m_options(options),
@@ -52,9 +53,9 @@
     const bool not_ready = cell.version == 0;
     spec.keyed = !request.key.empty() && not_ready;
     spec.id = make_task_id(request.workload, request.key);
-    refusal = turn_away(spec, refusal_reason::unknown_workload,
-                        "no workload \"" + request.workload.value + "\" is declared", "accept",
-                        not_ready ? m_options.come_back : duration{0});
+    refusal = refuse_unrouted(spec, refusal_reason::unknown_workload,
+                              "no workload \"" + request.workload.value + "\" is declared",
+                              "accept", not_ready ? m_options.come_back : duration{0});
     return false;
   }
   if (request.purpose == request_purpose::submit && workload->kind == task_kind::service)
@@ -71,7 +72,7 @@
   std::string key = request.key;
   if (!spec.keyed)
     key = mint_key();
-  // A minted id is homed where it was minted if the workload may run there.
+  // A minted id has its home in this zone if the workload may run here.
   if (!spec.keyed && !local)
     key.replace(0, m_zone.value.size(), workload->zones.front().value);
   spec.id = make_task_id(workload->id, key);
@@ -88,43 +89,45 @@
                                  time_point now)
 {
   m_metrics.add(counter::requests);
-  pending_request made;
-  made.purpose = request.purpose;
-  made.from_number = request.number;
+  pending_request new_request;
+  new_request.purpose = request.purpose;
+  new_request.requester_number = request.number;
   answer refusal;
-  bool refused = !fill_spec(request, cell, made.spec, refusal);
+  bool refused = !fill_spec(request, cell, new_request.spec, refusal);
   if (!refused && m_stopping)
   {
-    refusal = turn_away(made.spec, refusal_reason::instance_stopping,
+    refusal =
+        refuse_unrouted(new_request.spec, refusal_reason::instance_stopping,
                         "this instance is stopping; ask another", "accept", m_options.come_back);
     refused = true;
   }
   if (!refused && m_pending.size() >= m_options.most_pending)
   {
-    refusal = turn_away(made.spec, refusal_reason::queue_full,
+    refusal =
+        refuse_unrouted(new_request.spec, refusal_reason::queue_full,
                         "too many requests are under way here", "accept", m_options.come_back);
     refused = true;
   }
   if (refused)
   {
-    send_answer(made, refusal);
+    send_answer(new_request, refusal);
     return;
   }
-  made.fresh = !made.spec.keyed && request.purpose == request_purpose::submit;
-  add(std::move(made), cell, now);
+  new_request.fresh = !new_request.spec.keyed && request.purpose == request_purpose::submit;
+  add(std::move(new_request), cell, now);
 }
 
 void request_router::from_peer(const instance_id& peer, const forward_request& request,
                                const cell_config& cell, time_point now)
 {
-  pending_request made;
-  made.purpose = request.purpose;
-  made.spec = request.spec;
-  made.from_peer = peer;
-  made.from_number = request.number;
-  made.hops = request.hops;
-  made.fresh = request.fresh;
-  add(std::move(made), cell, now);
+  pending_request new_request;
+  new_request.purpose = request.purpose;
+  new_request.spec = request.spec;
+  new_request.from_peer = peer;
+  new_request.requester_number = request.number;
+  new_request.hops = request.hops;
+  new_request.fresh = request.fresh;
+  add(std::move(new_request), cell, now);
 }
 
 void request_router::add(pending_request request, const cell_config& cell, time_point now)
@@ -134,25 +137,25 @@
       workload != nullptr ? cell.find_zone(home_zone(request.spec.id, *workload, cell)) : nullptr;
   if (zone == nullptr && !request.from_peer.empty())
   {
-    // The peer knows a configuration that this instance does not know yet.
+    // The peer has a newer configuration than this instance.
     send_not_owner(request, false);
     return;
   }
   if (zone == nullptr)
   {
-    send_answer(request, turn_away(request.spec, refusal_reason::zone_not_served,
-                                   "the configuration here names no home for it", "route",
-                                   m_options.come_back));
+    send_answer(request, refuse_unrouted(request.spec, refusal_reason::zone_not_served,
+                                         "the configuration here names no home for it", "route",
+                                         m_options.come_back));
     return;
   }
   request.home = home_partition(request.spec.id, *zone);
-  request.arrived = now;
+  request.routing_started = now;
   const bool has_deadline = request.spec.deadline > duration{0};
-  request.due =
+  request.reply_deadline =
       now + (has_deadline ? std::min(request.spec.deadline + k_deadline_grace, m_options.wait_limit)
                           : m_options.wait_limit);
   const std::uint64_t number = m_next_number++;
-  m_timers.emplace(request.due, number);
+  m_timers.emplace(request.reply_deadline, number);
   m_pending.emplace(number, std::move(request));
   route(number, now);
 }
@@ -166,7 +169,8 @@
     return owner;
   if (request.home.zone == m_zone)
     return std::nullopt;
-  return m_peers.any_of(request.home.zone, stable_hash(request.spec.id.value) + request.tries, now);
+  return m_peers.any_peer_in(request.home.zone,
+                             stable_hash(request.spec.id.value) + request.retries, now);
 }
 
 void request_router::route(std::uint64_t number, time_point now)
@@ -175,32 +179,32 @@
   const auto home = m_homes.find(request.home);
   if (home != m_homes.end() && home->second.owns())
   {
-    give_to_home(number, request, home->second, now);
+    submit_to_home(number, request, home->second, now);
     return;
   }
   const std::optional<instance_id> hop = next_hop(request, now);
   if (hop && *hop != request.from_peer)
   {
-    give_to_peer(number, request, *hop);
+    forward_to_peer(number, request, *hop);
     return;
   }
   if (!request.from_peer.empty())
   {
-    pass_back_not_owner(number, request.may_be_known);
+    return_not_owner(number, request.may_have_reached_home);
     return;
   }
-  if (now >= request.arrived + m_options.owner_patience)
+  if (now >= request.routing_started + m_options.owner_patience)
   {
-    give_up(number, now);
+    finish_unroutable(number, now);
     return;
   }
-  park(number, request, k_soon, now);
+  park(number, request, k_reroute_delay, now);
 }
 
-void request_router::give_to_home(std::uint64_t number, pending_request& request,
-                                  partition_home& home, time_point now)
+void request_router::submit_to_home(std::uint64_t number, pending_request& request,
+                                    partition_home& home, time_point now)
 {
-  request.where = place::at_home;
+  request.state = routing_state::at_home;
   const decision::reply_address address{{}, number};
   const bool fresh = request.fresh;
   switch (request.purpose)
@@ -218,11 +222,11 @@
   }
 }
 
-void request_router::give_to_peer(std::uint64_t number, pending_request& request,
-                                  const instance_id& peer)
+void request_router::forward_to_peer(std::uint64_t number, pending_request& request,
+                                     const instance_id& peer)
 {
-  request.where = place::at_peer;
-  request.at = peer;
+  request.state = routing_state::at_peer;
+  request.assigned_peer = peer;
   m_commands.emplace_back(
       send_to_peer{peer, forward_request{number, request.hops + 1, request.purpose, request.fresh,
                                          request.spec}});
@@ -231,8 +235,8 @@
 void request_router::park(std::uint64_t number, pending_request& request, duration delay,
                           time_point now)
 {
-  request.where = place::parked;
-  request.at = instance_id{};
+  request.state = routing_state::parked;
+  request.assigned_peer = instance_id{};
   m_timers.erase({request.next_try, number});
   request.next_try = now + delay;
   m_timers.emplace(request.next_try, number);
@@ -240,16 +244,16 @@
 
 request_router::pending_map::iterator request_router::erase(pending_map::iterator entry)
 {
-  m_timers.erase({entry->second.due, entry->first});
+  m_timers.erase({entry->second.reply_deadline, entry->first});
   m_timers.erase({entry->second.next_try, entry->first});
   return m_pending.erase(entry);
 }
 
-void request_router::give_up(std::uint64_t number, time_point /*now*/)
+void request_router::finish_unroutable(std::uint64_t number, time_point /*now*/)
 {
   const pending_request& request = m_pending.at(number);
-  const bool known_nowhere = !request.may_be_known && request.fresh;
-  if (known_nowhere)
+  const bool never_reached_home = !request.may_have_reached_home && request.fresh;
+  if (never_reached_home)
     finish(number, refuse(request.spec.id, refusal_reason::no_owner,
                           "nobody owns " + to_text(request.home) + " at present", "route",
                           m_options.come_back));
@@ -274,13 +278,13 @@
   }
   pending_request& request = found->second;
   request.fresh = false;
-  request.may_be_known = true;
+  request.may_have_reached_home = true;
   if (!request.from_peer.empty())
   {
-    pass_back_not_owner(found->first, true);
+    return_not_owner(found->first, true);
     return;
   }
-  request.arrived = now; // the new owner is given its time
+  request.routing_started = now; // owner_patience starts anew for the new owner
   park(found->first, request, duration{0}, now);
 }
 
@@ -288,8 +292,8 @@
                                    time_point now)
 {
   const auto found = m_pending.find(reply.number);
-  const bool expected =
-      found != m_pending.end() && found->second.where == place::at_peer && found->second.at == peer;
+  const bool expected = found != m_pending.end() && found->second.state == routing_state::at_peer &&
+                        found->second.assigned_peer == peer;
   if (!expected)
   {
     m_metrics.add(counter::late_answers);
@@ -305,15 +309,15 @@
   if (reply.may_have_run)
   {
     request.fresh = false;
-    request.may_be_known = true;
+    request.may_have_reached_home = true;
   }
   if (!request.from_peer.empty())
   {
-    pass_back_not_owner(found->first, request.may_be_known);
+    return_not_owner(found->first, request.may_have_reached_home);
     return;
   }
-  ++request.tries;
-  park(found->first, request, k_soon, now);
+  ++request.retries;
+  park(found->first, request, k_reroute_delay, now);
 }
 
 void request_router::peer_unlinked(const instance_id& peer, time_point now)
@@ -325,30 +329,30 @@
 
 void request_router::peer_silent(const instance_id& peer, time_point now)
 {
-  std::vector<std::uint64_t> orphans;
+  std::vector<std::uint64_t> affected;
   for (const auto& [number, request] : m_pending)
   {
-    if (request.where == place::at_peer && request.at == peer)
-      orphans.push_back(number);
+    if (request.state == routing_state::at_peer && request.assigned_peer == peer)
+      affected.push_back(number);
   }
-  for (const std::uint64_t number : orphans)
+  for (const std::uint64_t number : affected)
   {
     pending_request& request = m_pending.at(number);
     m_metrics.add(retry_reason::forward_lost);
     request.fresh = false;
-    request.may_be_known = true;
+    request.may_have_reached_home = true;
     if (!request.from_peer.empty())
     {
-      pass_back_not_owner(number, true);
+      return_not_owner(number, true);
       continue;
     }
-    request.arrived = now;
-    ++request.tries;
-    park(number, request, k_soon, now);
+    request.routing_started = now;
+    ++request.retries;
+    park(number, request, k_reroute_delay, now);
   }
 }
 
-void request_router::pass_back_not_owner(std::uint64_t number, bool may_have_run)
+void request_router::return_not_owner(std::uint64_t number, bool may_have_run)
 {
   send_not_owner(m_pending.at(number), may_have_run);
   erase(m_pending.find(number));
@@ -357,7 +361,7 @@
 void request_router::send_not_owner(const pending_request& request, bool may_have_run)
 {
   forward_answer reply;
-  reply.number = request.from_number;
+  reply.number = request.requester_number;
   reply.not_owner = true;
   reply.may_have_run = may_have_run;
   m_commands.emplace_back(send_to_peer{request.from_peer, std::move(reply)});
@@ -375,13 +379,13 @@
   if (!request.from_peer.empty())
   {
     forward_answer reply;
-    reply.number = request.from_number;
+    reply.number = request.requester_number;
     reply.reply = value;
     m_commands.emplace_back(send_to_peer{request.from_peer, std::move(reply)});
     return;
   }
   count(value);
-  m_commands.emplace_back(answer_caller{request.from_number, value});
+  m_commands.emplace_back(answer_caller{request.requester_number, value});
 }
 
 void request_router::count(const answer& value)
@@ -401,14 +405,14 @@
     if (found == m_pending.end())
       continue;
     pending_request& request = found->second;
-    if (now >= request.due)
+    if (now >= request.reply_deadline)
     {
       finish(number,
              unclear(request.spec.id, refusal_reason::owner_unreachable,
                      "no answer came in time; ask for its status", "route", m_options.come_back));
       continue;
     }
-    if (request.where == place::parked && now >= request.next_try)
+    if (request.state == routing_state::parked && now >= request.next_try)
       route(number, now);
   }
 }
