--- a/Source/Core/Replay/Trace.cpp
+++ b/Source/Core/Replay/Trace.cpp
@@ -106,7 +106,7 @@
   return text;
 }
 
-trace trace_from(const std::string& text)
+trace parse_trace(const std::string& text)
 {
   trace recorded;
   std::istringstream lines(text);
--- a/Source/Core/Replay/Trace.h
+++ b/Source/Core/Replay/Trace.h
@@ -71,5 +71,5 @@
 std::string to_json_line(const trace_action& action);
 std::string to_json_lines(const trace& recorded);
 // Throws std::runtime_error naming the line.
-trace trace_from(const std::string& text);
+trace parse_trace(const std::string& text);
 } // namespace yardhill::replay
--- a/Source/Core/Replay/VirtualCell.cpp
+++ b/Source/Core/Replay/VirtualCell.cpp
@@ -216,7 +216,7 @@
   std::erase_if(worker.held,
                 [&](const held_claim& held)
                 {
-                  if (now() < held.until && !worker.model.has_news_for(held.request))
+                  if (now() < held.until && !worker.model.has_update_for(held.request))
                     return false;
                   const claim_answer answer = worker.model.answer(held.request, now());
                   if (m_network.is_cut(worker.name, held.from))
--- a/Source/Core/Replay/WorkerModel.cpp
+++ b/Source/Core/Replay/WorkerModel.cpp
@@ -48,7 +48,7 @@
 {
 }
 
-bool worker_model::has_news_for(const claim_request& request) const
+bool worker_model::has_update_for(const claim_request& request) const
 {
   return request.term != m_term || request.owner != m_owner || m_told_moment != m_moment ||
          request.acknowledged_boot != m_boot;
--- a/Source/Core/Replay/WorkerModel.h
+++ b/Source/Core/Replay/WorkerModel.h
@@ -59,7 +59,7 @@
   worker_model(const worker_config& config, const ownership_options& options, std::string boot);
 
   // Whether an answer to this claim would tell something new; else it may be held back.
-  bool has_news_for(const claim_request& request) const;
+  bool has_update_for(const claim_request& request) const;
   // Takes the claim's effect: owner, tickets, acknowledgements, renewal.
   void take(const claim_request& request, time_point now);
   claim_answer answer(const claim_request& request, time_point now);
--- a/Source/StandIns/WorkerStandIn.cpp
+++ b/Source/StandIns/WorkerStandIn.cpp
@@ -198,7 +198,7 @@
     std::erase_if(worker.held,
                   [&](const held_claim& held)
                   {
-                    if (now < held.until && !worker.model.has_news_for(held.claim))
+                    if (now < held.until && !worker.model.has_update_for(held.claim))
                       return false;
                     reply(held.request, status_codes::OK,
                           to_json_text(worker.model.answer(held.claim, now)));
--- a/Source/UnitTests/Replay/TraceTest.cpp
+++ b/Source/UnitTests/Replay/TraceTest.cpp
@@ -36,7 +36,7 @@
   std::ifstream in(path);
   std::ostringstream text;
   text << in.rdbuf();
-  return trace_from(text.str());
+  return parse_trace(text.str());
 }
 } // namespace
 
@@ -77,7 +77,7 @@
 BOOST_AUTO_TEST_CASE(a_trace_comes_back_from_its_text)
 {
   const trace recorded = read_trace(committed_traces().front());
-  BOOST_TEST(to_json_lines(trace_from(to_json_lines(recorded))) == to_json_lines(recorded));
+  BOOST_TEST(to_json_lines(parse_trace(to_json_lines(recorded))) == to_json_lines(recorded));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/Yardhill/Replay.cpp
+++ b/Source/Yardhill/Replay.cpp
@@ -191,7 +191,7 @@
 {
   const auto parsed = docopt::docopt(k_usage, given, true);
   const replay::trace recorded =
-      replay::trace_from(read_file(parsed.at("<trace>").asString()).text);
+      replay::parse_trace(read_file(parsed.at("<trace>").asString()).text);
   replay::virtual_cell cell(recorded, document_for(recorded, parsed), options_from(parsed));
   cell.run();
   const json figures = collect(cell);
