--- a/Source/Core/Replay/BuiltInCell.cpp
+++ b/Source/Core/Replay/BuiltInCell.cpp
@@ -14,7 +14,7 @@
   {
     const std::string name(1, static_cast<char>('a' + zone));
     constexpr int first_port = 20000;
-    constexpr int ports_a_zone = 1000;
+    constexpr int ports_per_zone = 1000;
     zones.push_back({{"name", name},
                      {"partitions", header.partitions},
                      {"workers",
@@ -22,15 +22,15 @@
                         {"count", header.workers},
                         {"per_rack", 2},
                         {"host", "127.0.0.1"},
-                        {"first_port", first_port + ports_a_zone * static_cast<int>(zone)},
+                        {"first_port", first_port + ports_per_zone * static_cast<int>(zone)},
                         {"processors", 4},
                         {"memory", "8GiB"}}}}});
   }
-  const auto workload = [](const char* name, const char* kind, json more)
+  const auto workload = [](const char* name, const char* kind, json extra_fields)
   {
     json entry{{"name", name},    {"team", "docs"},   {"kind", kind},
                {"processors", 1}, {"memory", "1GiB"}, {"expected_run", "500ms"}};
-    entry.update(more);
+    entry.update(extra_fields);
     return entry;
   };
   const json document{
--- a/Source/Core/Replay/BuiltInCell.h
+++ b/Source/Core/Replay/BuiltInCell.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The declared set that traces without one of their own run on.
+// The cell configuration used by traces that name no configuration file.
 
 #include <cstdint>
 #include <string>
@@ -12,6 +12,6 @@
 
 namespace yardhill::replay
 {
-// As JSON, with so many replicas of its one service.
+// Returns the configuration as JSON; `replicas` is the replica count of its only service.
 std::string built_in_document(const trace_header& header, std::int64_t replicas);
 } // namespace yardhill::replay
--- a/Source/Core/Replay/EventQueue.cpp
+++ b/Source/Core/Replay/EventQueue.cpp
@@ -14,9 +14,9 @@
   return std::tie(when, number) > std::tie(other.when, other.number);
 }
 
-void event_queue::at(time_point when, action what)
+void event_queue::at(time_point when, action callback)
 {
-  m_entries.push({std::max(when, m_now), m_planned++, std::move(what)});
+  m_entries.push({std::max(when, m_now), m_scheduled++, std::move(callback)});
 }
 
 void event_queue::run(time_point end, const std::function<bool()>& stop)
@@ -26,7 +26,7 @@
     const entry next = m_entries.top();
     m_entries.pop();
     m_now = next.when;
-    next.what();
+    next.callback();
   }
   m_now = end;
 }
--- a/Source/Core/Replay/EventQueue.h
+++ b/Source/Core/Replay/EventQueue.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// Virtual time: actions planned for later, carried out in the order of their times, and in the
-// order of planning where the times are the same.
+// Virtual time: a queue of scheduled actions. Actions run in the order of their times; actions with
+// the same time run in the order in which they were scheduled.
 
 #include <cstdint>
 #include <functional>
@@ -24,13 +24,14 @@
   using action = std::function<void()>;
 
   time_point now() const { return m_now; }
-  // Not before now.
-  void at(time_point when, action what);
-  void in(duration delay, action what) { at(m_now + delay, std::move(what)); }
-  // How many actions were planned so far.
-  std::uint64_t planned() const { return m_planned; }
-
-  // Carries out what is due until `end`, or until `stop` says so. It is `end` afterwards.
+  // Schedules an action. A time in the past is replaced by now().
+  void at(time_point when, action callback);
+  void in(duration delay, action callback) { at(m_now + delay, std::move(callback)); }
+  // The number of actions scheduled so far.
+  std::uint64_t scheduled_count() const { return m_scheduled; }
+
+  // Runs the actions that are due up to and including `end`, or until `stop` returns true. In both
+  // cases now() is `end` afterwards.
   void run(time_point end, const std::function<bool()>& stop);
 
 private:
@@ -38,13 +39,13 @@
   {
     time_point when;
     std::uint64_t number;
-    action what;
+    action callback;
 
     bool operator>(const entry& other) const;
   };
 
   time_point m_now{};
-  std::uint64_t m_planned = 0;
+  std::uint64_t m_scheduled = 0;
   std::priority_queue<entry, std::vector<entry>, std::greater<>> m_entries;
 };
 } // namespace yardhill::replay
--- a/Source/Core/Replay/Explorer.h
+++ b/Source/Core/Replay/Explorer.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Makes traces of random troubles out of a seed, to be run through a virtual cell.
+// Generates traces of random requests and faults from a seed, to be run in a virtual cell.
 
 #include <cstdint>
 
@@ -11,7 +11,7 @@
 
 namespace yardhill::replay
 {
-// Requests and troubles for `trouble` of virtual time, then everything is mended, and all keyed
-// requests are sent once more, to be answered finally and alike.
-trace explore(std::uint64_t seed, duration trouble);
+// Requests and faults occur for `fault_period` of virtual time. Then all faults are repaired and
+// all keyed requests are sent once more: each must get a final answer, the same as before.
+trace generate_trace(std::uint64_t seed, duration fault_period);
 } // namespace yardhill::replay
--- a/Source/Core/Replay/NetworkModel.cpp
+++ b/Source/Core/Replay/NetworkModel.cpp
@@ -7,8 +7,8 @@
 {
 namespace
 {
-constexpr std::uint64_t k_spread_steps = 1000;
-constexpr std::uint64_t k_most_late_ms = 12000;
+constexpr std::uint64_t k_delay_factor_steps = 1000;
+constexpr std::uint64_t k_max_extra_delay_ms = 12000;
 } // namespace
 
 bool network_model::is_cut(const std::string& from, const std::string& to) const
@@ -18,10 +18,12 @@
 
 duration network_model::next_delay(duration usual)
 {
-  const double factor = 0.5 + static_cast<double>(m_random() % k_spread_steps) / k_spread_steps;
+  const double factor =
+      0.5 + static_cast<double>(m_random() % k_delay_factor_steps) / k_delay_factor_steps;
   duration delay{static_cast<duration::rep>(static_cast<double>(usual.count()) * factor)};
-  if (m_late_every > 0 && m_random() % static_cast<std::uint64_t>(m_late_every) == 0)
-    delay += std::chrono::milliseconds{m_random() % k_most_late_ms};
+  if (m_late_message_interval > 0 &&
+      m_random() % static_cast<std::uint64_t>(m_late_message_interval) == 0)
+    delay += std::chrono::milliseconds{m_random() % k_max_extra_delay_ms};
   return delay;
 }
 } // namespace yardhill::replay
--- a/Source/Core/Replay/PackingMeter.cpp
+++ b/Source/Core/Replay/PackingMeter.cpp
@@ -10,17 +10,17 @@
 {
 namespace
 {
-double part_of(std::int64_t some, std::int64_t all)
+double fraction_of(std::int64_t amount, std::int64_t total)
 {
-  return static_cast<double>(some) / static_cast<double>(std::max<std::int64_t>(1, all));
+  return static_cast<double>(amount) / static_cast<double>(std::max<std::int64_t>(1, total));
 }
 } // namespace
 
 void packing_meter::add_sample(const resources& granted, const resources& capacity,
                                std::size_t queued)
 {
-  const double processors = part_of(granted.cpu_millis, capacity.cpu_millis);
-  const double memory = part_of(granted.memory_mib, capacity.memory_mib);
+  const double processors = fraction_of(granted.cpu_millis, capacity.cpu_millis);
+  const double memory = fraction_of(granted.memory_mib, capacity.memory_mib);
   ++m_samples;
   m_sums.processors += processors;
   m_sums.memory += memory;
@@ -29,8 +29,8 @@
   if (queued == 0)
     return;
   ++m_sums.backlogged_samples;
-  m_sums.backlogged += std::max({processors, memory, part_of(granted.slots, capacity.slots),
-                                 part_of(granted.accelerators, capacity.accelerators)});
+  m_sums.backlogged += std::max({processors, memory, fraction_of(granted.slots, capacity.slots),
+                                 fraction_of(granted.accelerators, capacity.accelerators)});
 }
 
 packing_figures packing_meter::mean() const
--- a/Source/Core/Replay/PackingMeter.h
+++ b/Source/Core/Replay/PackingMeter.h
@@ -13,13 +13,14 @@
 {
 using namespace common;
 
-// Parts of the capacity that are granted, between 0 and 1, averaged over all samples.
+// Granted fractions of the capacity, from 0 to 1, averaged over all samples.
 struct packing_figures
 {
   double processors = 0;
   double memory = 0;
   double peak_processors = 0;
-  // While tasks waited: the part of the scarcest resource, and over how many samples.
+  // Only over samples with queued tasks: the fraction of the scarcest resource, and the number of
+  // such samples.
   double backlogged = 0;
   std::size_t backlogged_samples = 0;
   std::size_t most_queued = 0; // tasks
@@ -28,7 +29,7 @@
 class packing_meter
 {
 public:
-  // Of all workers together; `queued` tasks wait.
+  // Adds the totals over all workers; `queued` is the number of waiting tasks.
   void add_sample(const resources& granted, const resources& capacity, std::size_t queued);
   packing_figures mean() const;
 
--- a/Source/Core/Replay/RunChecker.cpp
+++ b/Source/Core/Replay/RunChecker.cpp
@@ -11,10 +11,10 @@
 
 namespace yardhill::replay
 {
-void run_checker::fail(std::string what)
+void run_checker::fail(std::string message)
 {
   if (!m_failure)
-    m_failure = std::move(what);
+    m_failure = std::move(message);
 }
 
 std::size_t run_checker::starts_of(const task_id& task) const
@@ -30,7 +30,7 @@
     run_state& run = m_runs[request.task];
     request.starts_before = run.starts;
     ++run.open_requests;
-    run.asked = true;
+    run.requested = true;
   }
   m_requests.emplace(number, std::move(request));
 }
@@ -50,10 +50,10 @@
   run_state& run = m_runs[request.task];
   if (request.keyed)
     --run.open_requests;
-  run.asked = true;
-  const bool said_not_run = reply.result == outcome::refused;
-  run.only_refused = run.only_refused && said_not_run;
-  if (said_not_run && run.open_requests == 0 && run.starts > request.starts_before)
+  run.requested = true;
+  const bool is_refusal = reply.result == outcome::refused;
+  run.only_refused = run.only_refused && is_refusal;
+  if (is_refusal && run.open_requests == 0 && run.starts > request.starts_before)
     fail(request.task.value + " was refused (" + std::string(to_text(reply.reason)) +
          ") but had been started");
   if (reply.result == outcome::done)
@@ -76,10 +76,11 @@
 {
   for (auto& [number, request] : m_requests)
   {
-    if (request.via != name || request.reply || request.cut_off)
+    if (request.via != name || request.reply || request.instance_lost)
       continue;
-    request.cut_off = true;
-    // What became of it nobody knows, so nothing may be concluded from other answers.
+    request.instance_lost = true;
+    // The outcome of this request is unknown, so the other answers do not prove that the task
+    // was not run.
     m_runs[request.task].only_refused = false;
   }
 }
@@ -90,13 +91,13 @@
   run_state& run = m_runs[id.task];
   ++run.starts;
   run.first_start = std::min(run.first_start, now);
-  const auto [place, first] = run.running.try_emplace(id.member, worker);
-  if (!first)
+  const auto [position, inserted] = run.running.try_emplace(id.member, worker);
+  if (!inserted)
     fail(to_text(id) + " was started on " + worker.value + " while running on " +
-         place->second.value + " at " + std::to_string(now.time_since_epoch().count()));
+         position->second.value + " at " + std::to_string(now.time_since_epoch().count()));
   if (!repeatable && run.starts > 1)
     fail(id.task.value + " is not repeatable and was started twice");
-  if (run.asked && run.open_requests == 0 && run.only_refused && !id.task.value.empty() &&
+  if (run.requested && run.open_requests == 0 && run.only_refused && !id.task.value.empty() &&
       id.task.value.find('~') == std::string::npos)
     fail(id.task.value + " was started after every caller was told that it was not run");
 }
@@ -106,12 +107,12 @@
   run_state& run = m_runs[id.task];
   run.done += result == attempt_result::done ? 1 : 0;
   std::map<std::uint32_t, worker_id>& running = run.running;
-  const auto place = running.find(id.member);
-  if (place != running.end() && place->second == worker)
-    running.erase(place);
+  const auto position = running.find(id.member);
+  if (position != running.end() && position->second == worker)
+    running.erase(position);
 }
 
-void run_checker::worker_forgot_all(const worker_id& worker)
+void run_checker::worker_restarted(const worker_id& worker)
 {
   for (auto& [task, run] : m_runs)
     std::erase_if(run.running, [&worker](const auto& entry) { return entry.second == worker; });
@@ -143,26 +144,26 @@
 {
   for (const auto& [number, request] : m_requests)
   {
-    if (!request.reply && !request.cut_off)
+    if (!request.reply && !request.instance_lost)
       fail("request " + std::to_string(number) + " for " + request.task.value +
            " was never answered");
     const bool promised = request.reply && request.reply->result == outcome::accepted &&
                           request.reply->durability == "table";
-    // Every attempt may have failed; that is an end, too.
-    constexpr std::size_t attempts = 3;
+    // A task also ends when all of its attempts have failed.
+    constexpr std::size_t max_attempts = 3;
     const run_state& run = m_runs[request.task];
-    if (promised && run.done == 0 && run.starts < attempts)
+    if (promised && run.done == 0 && run.starts < max_attempts)
       fail(request.task.value + " was accepted for good and never ran to its end");
   }
 }
 
-void run_checker::config_seen(const std::string& instance, std::uint64_t life,
-                              std::uint64_t version)
+void run_checker::record_config_version(const std::string& instance, std::uint64_t incarnation,
+                                        std::uint64_t version)
 {
-  std::uint64_t& seen = m_config_versions[{instance, life}];
-  if (version < seen)
-    fail(instance + " went back from configuration " + std::to_string(seen) + " to " +
+  std::uint64_t& highest = m_config_versions[{instance, incarnation}];
+  if (version < highest)
+    fail(instance + " went back from configuration " + std::to_string(highest) + " to " +
          std::to_string(version));
-  seen = version;
+  highest = version;
 }
 } // namespace yardhill::replay
--- a/Source/Core/Replay/RunChecker.h
+++ b/Source/Core/Replay/RunChecker.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Watches a run from outside and notes the first thing that must always hold and does not.
+// Observes a run from outside the instances and records the first violation of an invariant.
 
 #include <cstdint>
 #include <map>
@@ -35,8 +35,8 @@
     std::string via;
     std::optional<answer> reply;
     time_point answered{};
-    bool cut_off = false;          // its instance died
-    std::size_t starts_before = 0; // of this task, when the request was sent
+    bool instance_lost = false;    // the instance died before it answered
+    std::size_t starts_before = 0; // starts of this task before the request was sent
   };
 
   void sent(std::uint64_t number, request_record request);
@@ -44,19 +44,21 @@
   void instance_died(const std::string& name);
   void started(const worker_id& worker, const attempt_id& id, bool repeatable, time_point now);
   void ended(const worker_id& worker, const attempt_id& id, attempt_result result);
-  void worker_forgot_all(const worker_id& worker);
+  void worker_restarted(const worker_id& worker);
   void overcommitted(const worker_id& worker);
-  void config_seen(const std::string& instance, std::uint64_t life, std::uint64_t version);
-  void fail(std::string what);
+  void record_config_version(const std::string& instance, std::uint64_t incarnation,
+                             std::uint64_t version);
+  void fail(std::string message);
 
   bool failed() const { return m_failure.has_value(); }
   const std::string& failure() const { return *m_failure; }
   const std::map<std::uint64_t, request_record>& requests() const { return m_requests; }
   std::size_t starts_of(const task_id& task) const;
-  // When a worker first took it; k_never if none did.
+  // When a worker first started the task; k_never if none did.
   time_point first_start_of(const task_id& task) const;
   std::size_t running_members(const workload_id& workload) const;
-  // After everything was mended and time enough has passed: nobody waits, nothing is lost.
+  // Checks that every request was answered and no stored task was lost. Call after all faults were
+  // repaired and the cell had time to recover.
   void check_end();
   const std::map<std::pair<std::string, std::uint64_t>, std::uint64_t>& config_versions() const
   {
@@ -71,8 +73,8 @@
     std::size_t done = 0;
     std::map<std::uint32_t, worker_id> running; // by member
     std::size_t open_requests = 0;
-    bool only_refused = true; // every answer so far said "not run"
-    bool asked = false;
+    bool only_refused = true; // every answer so far was a refusal
+    bool requested = false;   // a request for the task was sent or answered
   };
 
   void check_result(const request_record& request, const answer& reply);
--- a/Source/Core/Replay/TableModel.cpp
+++ b/Source/Core/Replay/TableModel.cpp
@@ -13,11 +13,11 @@
   {
     started = true;
     tokens = per_second;
-    filled = now;
+    refilled_at = now;
   }
-  const double seconds = std::chrono::duration<double>(now - filled).count();
+  const double seconds = std::chrono::duration<double>(now - refilled_at).count();
   tokens = std::min(per_second, tokens + seconds * per_second);
-  filled = now;
+  refilled_at = now;
   if (tokens < 1.0)
     return false;
   tokens -= 1.0;
--- a/Source/Core/Replay/TableModel.h
+++ b/Source/Core/Replay/TableModel.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The platform's table service in memory: transactions with compare-and-set, and its rate limits.
+// In-memory model of the platform's table service: transactions with compare-and-set, rate limits.
 
 #include <cstdint>
 #include <map>
@@ -25,8 +25,8 @@
 struct table_load
 {
   std::uint64_t reads = 0;
-  std::uint64_t writes = 0; // transactions that took effect
-  std::uint64_t rows = 0;   // rows that they put
+  std::uint64_t writes = 0; // committed transactions
+  std::uint64_t rows = 0;   // rows written or deleted by committed transactions
   std::uint64_t limited = 0;
   std::uint64_t conflicts = 0;
 };
@@ -39,7 +39,7 @@
   store_read_result read(const store_read& request, time_point now);
   store_write_result write(const store_transaction& request, time_point now);
 
-  // The object store beside it; without limits.
+  // The object store next to the table service; it has no rate limits.
   store_write_result put(const object_put& request);
   store_read_result get(const object_get& request) const;
 
@@ -47,11 +47,11 @@
   const std::map<std::string, store_row>& rows() const { return m_rows; }
 
 private:
-  // A second's worth of calls may come at once.
+  // Allows bursts of up to one second's worth of calls.
   struct token_bucket
   {
     double tokens = 0;
-    time_point filled{};
+    time_point refilled_at{};
     bool started = false;
 
     bool take(double per_second, time_point now);
--- a/Source/Core/Replay/VirtualCell.cpp
+++ b/Source/Core/Replay/VirtualCell.cpp
@@ -15,7 +15,7 @@
 {
 namespace
 {
-constexpr duration k_sample = std::chrono::seconds{1};
+constexpr duration k_sample_interval = std::chrono::seconds{1};
 } // namespace
 
 virtual_cell::virtual_cell(const trace& recorded, std::string document, const cell_options& options)
@@ -38,10 +38,10 @@
 
 virtual_cell::~virtual_cell() = default;
 
-void virtual_cell::log(const std::string& who, const std::string& what) const
+void virtual_cell::log(const std::string& source, const std::string& message) const
 {
   if (m_options.log)
-    m_options.log(now(), who, what);
+    m_options.log(now(), source, message);
 }
 
 void virtual_cell::run()
@@ -52,8 +52,8 @@
   at(time_point{std::chrono::milliseconds{200}},
      [this, first]
      {
-       if (live_instance* instance = living(first))
-         deliver(first, instance->life,
+       if (live_instance* instance = find_instance(first))
+         deliver(first, instance->incarnation,
                  instance::apply_request{m_next_request++, 0, "first", m_document});
      });
   for (const trace_action& each : m_trace.actions)
@@ -61,38 +61,38 @@
        [this, each]
        {
          log("trace", to_json_line(each));
-         carry_out_action(each);
+         execute_action(each);
        });
-  at(time_point{k_sample}, [this] { sample_packing(); });
+  at(time_point{k_sample_interval}, [this] { sample_packing(); });
   m_events.run(time_point{m_trace.header.until}, [this] { return m_checker.failed(); });
 }
 
 // --- instances ---
 
-virtual_cell::live_instance* virtual_cell::living(const std::string& name)
+virtual_cell::live_instance* virtual_cell::find_instance(const std::string& name)
 {
   const auto found = m_instances.find(name);
   return found == m_instances.end() ? nullptr : found->second.get();
 }
 
-virtual_cell::live_instance* virtual_cell::by_id(const instance_id& id)
+virtual_cell::live_instance* virtual_cell::find_instance_by_id(const instance_id& id)
 {
-  return living(id.value.substr(0, id.value.find('@')));
+  return find_instance(id.value.substr(0, id.value.find('@')));
 }
 
 void virtual_cell::start_instance(const std::string& name)
 {
-  if (living(name) != nullptr)
+  if (find_instance(name) != nullptr)
     return;
-  const std::uint64_t life = ++m_lives;
-  const instance::instance_identity identity{instance_id{name + "@" + std::to_string(life)},
+  const std::uint64_t incarnation = ++m_incarnations;
+  const instance::instance_identity identity{instance_id{name + "@" + std::to_string(incarnation)},
                                              m_zones.at(name)};
   m_instances[name] =
-      std::make_unique<live_instance>(name, life, identity, m_options, m_metrics, now());
+      std::make_unique<live_instance>(name, incarnation, identity, m_options, m_metrics, now());
   step(*m_instances[name], instance::timer_expired{});
   for (const auto& [other, zone] : m_zones)
   {
-    if (other == name || living(other) == nullptr)
+    if (other == name || find_instance(other) == nullptr)
       continue;
     set_link(name, other, true);
     set_link(other, name, true);
@@ -101,106 +101,108 @@
 
 void virtual_cell::end_instance(const std::string& name)
 {
-  if (living(name) == nullptr)
+  if (find_instance(name) == nullptr)
     return;
-  const instance_id id = living(name)->id;
+  const instance_id id = find_instance(name)->id;
   m_checker.instance_died(name);
   m_instances.erase(name);
   for (const auto& [other, entry] : m_instances)
-    in(m_options.link_latency, [this, peer = other, life = entry->life, id]
-       { deliver(peer, life, instance::peer_unlinked{id}); });
+    in(m_options.link_latency, [this, peer = other, incarnation = entry->incarnation, id]
+       { deliver(peer, incarnation, instance::peer_unlinked{id}); });
 }
 
 void virtual_cell::set_link(const std::string& from, const std::string& to, bool up)
 {
-  const live_instance* sender = living(from);
-  const live_instance* receiver = living(to);
+  const live_instance* sender = find_instance(from);
+  const live_instance* receiver = find_instance(to);
   if (sender == nullptr || receiver == nullptr ||
       (up && (m_network.is_cut(from, to) || m_network.is_cut(to, from))))
     return;
-  instance::event what = instance::peer_unlinked{receiver->id};
+  instance::event link_event = instance::peer_unlinked{receiver->id};
   if (up)
-    what = instance::peer_linked{receiver->id, receiver->zone};
-  in(m_options.link_latency,
-     [this, from, life = sender->life, what] { deliver(from, life, what); });
+    link_event = instance::peer_linked{receiver->id, receiver->zone};
+  in(m_options.link_latency, [this, from, incarnation = sender->incarnation, link_event]
+     { deliver(from, incarnation, link_event); });
 }
 
-void virtual_cell::deliver(const std::string& name, std::uint64_t life, instance::event what)
+void virtual_cell::deliver(const std::string& name, std::uint64_t incarnation,
+                           instance::event incoming)
 {
-  live_instance* instance = living(name);
-  if (instance == nullptr || instance->life != life || instance->done)
+  live_instance* instance = find_instance(name);
+  if (instance == nullptr || instance->incarnation != incarnation || instance->done)
     return;
   if (instance->paused)
-    instance->waiting.push_back(std::move(what));
+    instance->queued_events.push_back(std::move(incoming));
   else
-    step(*instance, what);
+    step(*instance, incoming);
 }
 
-void virtual_cell::step(live_instance& instance, const instance::event& what)
+void virtual_cell::step(live_instance& instance, const instance::event& incoming)
 {
   const auto began = std::chrono::steady_clock::now();
-  const std::vector<instance::command> commands = instance.core.step(what, now());
+  const std::vector<instance::command> commands = instance.core.step(incoming, now());
   const auto took = std::chrono::steady_clock::now() - began;
   m_core_time += took;
   ++m_steps;
   m_metrics.record(timing::decision, std::chrono::duration_cast<duration>(took));
   if (m_options.check)
-    m_checker.config_seen(instance.name, instance.life, instance.core.config().version());
-  plan_timer(instance);
-  // Last: it may end the instance.
+    m_checker.record_config_version(instance.name, instance.incarnation,
+                                    instance.core.config().version());
+  schedule_timer(instance);
+  // Must be last: executing the commands may destroy the instance.
   if (instance.paused)
-    instance.about_to_send.insert(instance.about_to_send.end(), commands.begin(), commands.end());
+    instance.unsent_commands.insert(instance.unsent_commands.end(), commands.begin(),
+                                    commands.end());
   else
-    carry_out(instance, commands);
+    execute(instance, commands);
 }
 
-void virtual_cell::plan_timer(live_instance& instance)
+void virtual_cell::schedule_timer(live_instance& instance)
 {
-  const time_point next = std::max(instance.core.next_timer(), now() + k_step);
+  const time_point next = std::max(instance.core.next_timer(), now() + k_timer_resolution);
   if (next >= instance.timer && instance.timer > now())
     return;
   instance.timer = next;
   at(next,
-     [this, name = instance.name, life = instance.life, next]
+     [this, name = instance.name, incarnation = instance.incarnation, next]
      {
-       live_instance* now_there = living(name);
-       if (now_there == nullptr || now_there->life != life || now_there->timer != next ||
-           now_there->paused)
+       live_instance* current = find_instance(name);
+       if (current == nullptr || current->incarnation != incarnation || current->timer != next ||
+           current->paused)
          return;
-       now_there->timer = k_never;
-       deliver(name, life, instance::timer_expired{});
+       current->timer = k_never;
+       deliver(name, incarnation, instance::timer_expired{});
      });
 }
 
 void virtual_cell::resume(live_instance& instance)
 {
   const std::string name = instance.name;
-  const std::uint64_t life = instance.life;
+  const std::uint64_t incarnation = instance.incarnation;
   instance.paused = false;
-  const auto waiting = std::exchange(instance.waiting, {});
-  const auto commands = std::exchange(instance.about_to_send, {});
-  carry_out(instance, commands);
-  for (const instance::event& each : waiting)
-    deliver(name, life, each);
-  if (live_instance* still = living(name))
+  const auto queued_events = std::exchange(instance.queued_events, {});
+  const auto commands = std::exchange(instance.unsent_commands, {});
+  execute(instance, commands);
+  for (const instance::event& each : queued_events)
+    deliver(name, incarnation, each);
+  if (live_instance* still = find_instance(name))
   {
     still->timer = k_never;
-    plan_timer(*still);
+    schedule_timer(*still);
   }
 }
 
-void virtual_cell::carry_out(live_instance& instance,
-                             const std::vector<instance::command>& commands)
+void virtual_cell::execute(live_instance& instance, const std::vector<instance::command>& commands)
 {
   for (const instance::command& each : commands)
-    std::visit([this, &instance](const auto& what) { send(instance, what); }, each);
+    std::visit([this, &instance](const auto& command) { send(instance, command); }, each);
   if (instance.done)
     end_instance(std::string(instance.name));
 }
 
 // --- workers ---
 
-void virtual_cell::claim_arrived(worker_host& worker, held_claim claim)
+void virtual_cell::handle_claim(worker_host& worker, held_claim claim)
 {
   if (worker.dead)
     return;
@@ -208,10 +210,10 @@
   worker.model.take(claim.request, now());
   claim.until = now() + claim.request.wait;
   worker.held.push_back(std::move(claim));
-  worker_changed(worker);
+  handle_worker_change(worker);
 }
 
-void virtual_cell::answer_held(worker_host& worker)
+void virtual_cell::answer_held_claims(worker_host& worker)
 {
   std::erase_if(worker.held,
                 [&](const held_claim& held)
@@ -225,21 +227,21 @@
                      [this, held, answer, id = worker.model.config().id]
                      {
                        if (!std::exchange(*held.settled, true))
-                         deliver(held.from, held.life,
+                         deliver(held.from, held.incarnation,
                                  instance::claim_returned{id, held.request, answer, held.sent_at});
                      });
                   return true;
                 });
 }
 
-void virtual_cell::worker_changed(worker_host& worker)
+void virtual_cell::handle_worker_change(worker_host& worker)
 {
-  tell_checker(worker);
-  answer_held(worker);
-  plan_worker(worker);
+  report_starts(worker);
+  answer_held_claims(worker);
+  schedule_worker(worker);
 }
 
-void virtual_cell::tell_ended(worker_host& worker)
+void virtual_cell::report_ended(worker_host& worker)
 {
   std::erase_if(worker.running,
                 [&](const auto& entry)
@@ -253,51 +255,51 @@
                 });
 }
 
-void virtual_cell::tell_checker(worker_host& worker)
+void virtual_cell::report_starts(worker_host& worker)
 {
-  tell_ended(worker);
+  report_ended(worker);
   const std::vector<run_record>& record = worker.model.record();
   for (; worker.recorded < record.size(); ++worker.recorded)
   {
     const run_record& run = record[worker.recorded];
-    // Leases elsewhere run out by themselves, without an event of their own.
+    // Leases on other workers expire without an event, so those workers are advanced here.
     for (const auto& [name, other] : m_workers)
     {
       if (!m_options.check || other.get() == &worker || other->running.empty())
         continue;
       other->model.advance(now());
-      tell_ended(*other);
+      report_ended(*other);
     }
     log(worker.name, "starts " + to_text(run.id));
     m_checker.started(worker.model.config().id, run.id, run.repeatable, now());
     worker.running.emplace(run.id, worker.recorded);
   }
-  tell_ended(worker);
+  report_ended(worker);
   if (worker.model.overcommitted() > 0)
     m_checker.overcommitted(worker.model.config().id);
 }
 
-void virtual_cell::plan_worker(worker_host& worker)
+void virtual_cell::schedule_worker(worker_host& worker)
 {
   time_point next = worker.model.next_event();
   for (const held_claim& held : worker.held)
     next = std::min(next, held.until);
-  if (next == k_never || (worker.planned > now() && worker.planned <= next))
+  if (next == k_never || (worker.next_wakeup > now() && worker.next_wakeup <= next))
     return;
-  worker.planned = next;
+  worker.next_wakeup = next;
   at(next,
      [this, &worker, next]
      {
-       if (worker.planned == next)
-         worker.planned = k_never;
+       if (worker.next_wakeup == next)
+         worker.next_wakeup = k_never;
        if (worker.dead)
          return;
        worker.model.advance(now());
-       worker_changed(worker);
+       handle_worker_change(worker);
      });
 }
 
-// --- measures and the end ---
+// --- measurements and final checks ---
 
 void virtual_cell::sample_packing()
 {
@@ -315,7 +317,7 @@
       queued += home.owns() ? home.scheduler().queued() : 0;
   }
   m_packing.add_sample(granted, capacity, queued);
-  in(k_sample, [this] { sample_packing(); });
+  in(k_sample_interval, [this] { sample_packing(); });
 }
 
 void virtual_cell::log_homes() const
--- a/Source/Core/Replay/VirtualCellActions.cpp
+++ b/Source/Core/Replay/VirtualCellActions.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// What a trace's actions do to the virtual cell.
+// Applies the actions of a trace to the virtual cell.
 
 #include <array>
 #include <utility>
@@ -15,14 +15,14 @@
 {
 namespace
 {
-constexpr duration k_relink = std::chrono::milliseconds{150};
+constexpr duration k_relink_delay = std::chrono::milliseconds{150};
 constexpr std::size_t k_result_bytes = 48;
 } // namespace
 
-void virtual_cell::carry_out_action(const trace_action& what)
+void virtual_cell::execute_action(const trace_action& trace_entry)
 {
   using handler = void (virtual_cell::*)(const trace_action&);
-  // In the order of action_kind.
+  // In the order of the values of action_kind.
   static constexpr std::array<handler, static_cast<std::size_t>(action_kind::count)> s_handlers{
       &virtual_cell::submit,      &virtual_cell::cancel,        &virtual_cell::apply,
       &virtual_cell::kill,        &virtual_cell::start,         &virtual_cell::stop,
@@ -30,136 +30,140 @@
       &virtual_cell::heal,        &virtual_cell::store_outage,  &virtual_cell::store_slow,
       &virtual_cell::store_lose,  &virtual_cell::worker_kill,   &virtual_cell::worker_reboot,
       &virtual_cell::worker_fail, &virtual_cell::worker_leave,  &virtual_cell::slow_messages};
-  (this->*s_handlers.at(static_cast<std::size_t>(what.kind)))(what);
+  (this->*s_handlers.at(static_cast<std::size_t>(trace_entry.kind)))(trace_entry);
 }
 
 // --- instances ---
 
-void virtual_cell::submit(const trace_action& what)
+void virtual_cell::submit(const trace_action& trace_entry)
 {
-  live_instance* instance = living(what.who);
+  live_instance* instance = find_instance(trace_entry.who);
   if (instance == nullptr)
     return;
-  const workload_config* workload = m_config.find_workload(workload_id{what.workload});
+  const workload_config* workload = m_config.find_workload(workload_id{trace_entry.workload});
   if (workload == nullptr)
     return;
   instance::caller_request request;
   request.number = m_next_request++;
   request.workload = workload->id;
-  request.key = what.key;
-  const std::string seed = what.key.empty() ? std::to_string(request.number) : what.key;
-  request.payload = json{{"run_us", what.number}, {"bytes", k_result_bytes}, {"id", seed}}.dump();
-  // Whoever sends batch work without a key comes back for it later.
-  request.waits = workload->kind != task_kind::batch || !what.key.empty();
+  request.key = trace_entry.key;
+  const std::string seed =
+      trace_entry.key.empty() ? std::to_string(request.number) : trace_entry.key;
+  request.payload =
+      json{{"run_us", trace_entry.number}, {"bytes", k_result_bytes}, {"id", seed}}.dump();
+  // Models a caller that does not wait for batch work without a key but queries the result later.
+  request.waits = workload->kind != task_kind::batch || !trace_entry.key.empty();
   run_checker::request_record record;
-  if (!what.key.empty())
-    record.task = make_task_id(workload->id, what.key);
+  if (!trace_entry.key.empty())
+    record.task = make_task_id(workload->id, trace_entry.key);
   record.kind = workload->kind;
-  record.keyed = !what.key.empty();
+  record.keyed = !trace_entry.key.empty();
   record.repeatable = workload->repeatable;
   record.payload = request.payload;
   record.bytes = k_result_bytes;
   record.members = workload->members;
   record.sent = now();
-  record.via = what.who;
+  record.via = trace_entry.who;
   m_checker.sent(request.number, std::move(record));
-  deliver(what.who, instance->life, std::move(request));
+  deliver(trace_entry.who, instance->incarnation, std::move(request));
 }
 
-void virtual_cell::cancel(const trace_action& what)
+void virtual_cell::cancel(const trace_action& trace_entry)
 {
-  live_instance* instance = living(what.who);
+  live_instance* instance = find_instance(trace_entry.who);
   if (instance == nullptr)
     return;
   instance::caller_request request;
-  request.number = m_next_request++; // nobody checks the answer
+  request.number =
+      m_next_request++; // not registered with the checker, so the answer is not checked
   request.purpose = request_purpose::cancel;
-  request.workload = workload_id{what.workload};
-  request.key = what.key;
-  deliver(what.who, instance->life, std::move(request));
+  request.workload = workload_id{trace_entry.workload};
+  request.key = trace_entry.key;
+  deliver(trace_entry.who, instance->incarnation, std::move(request));
 }
 
-void virtual_cell::apply(const trace_action& what)
+void virtual_cell::apply(const trace_action& trace_entry)
 {
-  live_instance* instance = living(what.who);
+  live_instance* instance = find_instance(trace_entry.who);
   if (instance == nullptr)
     return;
-  deliver(what.who, instance->life,
+  deliver(trace_entry.who, instance->incarnation,
           instance::apply_request{m_next_request++, instance->core.config().version(),
-                                  "apply-" + std::to_string(m_events.planned()),
-                                  built_in_document(m_trace.header, what.number)});
+                                  "apply-" + std::to_string(m_events.scheduled_count()),
+                                  built_in_document(m_trace.header, trace_entry.number)});
 }
 
-void virtual_cell::kill(const trace_action& what)
+void virtual_cell::kill(const trace_action& trace_entry)
 {
-  end_instance(what.who);
+  end_instance(trace_entry.who);
 }
 
-void virtual_cell::start(const trace_action& what)
+void virtual_cell::start(const trace_action& trace_entry)
 {
-  start_instance(what.who);
+  start_instance(trace_entry.who);
 }
 
-void virtual_cell::stop(const trace_action& what)
+void virtual_cell::stop(const trace_action& trace_entry)
 {
-  if (live_instance* instance = living(what.who))
-    deliver(what.who, instance->life, instance::stop_requested{});
+  if (live_instance* instance = find_instance(trace_entry.who))
+    deliver(trace_entry.who, instance->incarnation, instance::stop_requested{});
 }
 
-void virtual_cell::pause(const trace_action& what)
+void virtual_cell::pause(const trace_action& trace_entry)
 {
-  live_instance* instance = living(what.who);
+  live_instance* instance = find_instance(trace_entry.who);
   if (instance == nullptr || instance->paused)
     return;
   instance->paused = true;
-  step(*instance, instance::timer_expired{}); // what it decided last is not sent yet
+  step(*instance, instance::timer_expired{}); // the commands of this step are held back until the
+                                              // instance resumes
 }
 
-void virtual_cell::resume_paused(const trace_action& what)
+void virtual_cell::resume_paused(const trace_action& trace_entry)
 {
-  live_instance* instance = living(what.who);
+  live_instance* instance = find_instance(trace_entry.who);
   if (instance != nullptr && instance->paused)
     resume(*instance);
 }
 
 // --- messages and the table ---
 
-void virtual_cell::cut(const trace_action& what)
+void virtual_cell::cut(const trace_action& trace_entry)
 {
-  m_network.cut(what.who, what.other);
-  set_link(what.who, what.other, false);
-  set_link(what.other, what.who, false);
+  m_network.cut(trace_entry.who, trace_entry.other);
+  set_link(trace_entry.who, trace_entry.other, false);
+  set_link(trace_entry.other, trace_entry.who, false);
 }
 
-void virtual_cell::heal(const trace_action& what)
+void virtual_cell::heal(const trace_action& trace_entry)
 {
-  m_network.heal(what.who, what.other);
-  in(k_relink,
-     [this, what]
+  m_network.heal(trace_entry.who, trace_entry.other);
+  in(k_relink_delay,
+     [this, trace_entry]
      {
-       set_link(what.who, what.other, true);
-       set_link(what.other, what.who, true);
+       set_link(trace_entry.who, trace_entry.other, true);
+       set_link(trace_entry.other, trace_entry.who, true);
      });
 }
 
-void virtual_cell::slow_messages(const trace_action& what)
+void virtual_cell::slow_messages(const trace_action& trace_entry)
 {
-  m_network.set_late_every(what.number);
+  m_network.set_late_message_interval(trace_entry.number);
 }
 
-void virtual_cell::store_outage(const trace_action& what)
+void virtual_cell::store_outage(const trace_action& trace_entry)
 {
-  m_store_down = what.number != 0;
+  m_store_down = trace_entry.number != 0;
 }
 
-void virtual_cell::store_slow(const trace_action& what)
+void virtual_cell::store_slow(const trace_action& trace_entry)
 {
-  m_store_slow = duration{what.number};
+  m_store_extra_latency = duration{trace_entry.number};
 }
 
-void virtual_cell::store_lose(const trace_action& what)
+void virtual_cell::store_lose(const trace_action& trace_entry)
 {
-  m_store_lose = what.number;
+  m_store_replies_to_lose = trace_entry.number;
 }
 
 // --- workers ---
@@ -175,31 +179,31 @@
   worker.dead = dead;
   worker.held.clear();
   worker.running.clear();
-  m_checker.worker_forgot_all(worker.model.config().id);
+  m_checker.worker_restarted(worker.model.config().id);
   worker.model.reboot(boot, now());
 }
 
-void virtual_cell::worker_kill(const trace_action& what)
+void virtual_cell::worker_kill(const trace_action& trace_entry)
 {
-  if (worker_host* worker = find_worker(what.who))
+  if (worker_host* worker = find_worker(trace_entry.who))
     restart_worker(*worker, true, "dead");
 }
 
-void virtual_cell::worker_reboot(const trace_action& what)
+void virtual_cell::worker_reboot(const trace_action& trace_entry)
 {
-  if (worker_host* worker = find_worker(what.who))
+  if (worker_host* worker = find_worker(trace_entry.who))
     restart_worker(*worker, false, "boot-" + std::to_string(++worker->boots));
 }
 
-void virtual_cell::worker_fail(const trace_action& what)
+void virtual_cell::worker_fail(const trace_action& trace_entry)
 {
-  if (worker_host* worker = find_worker(what.who))
-    worker->model.faults().fails_everything = what.number != 0;
+  if (worker_host* worker = find_worker(trace_entry.who))
+    worker->model.faults().fails_everything = trace_entry.number != 0;
 }
 
-void virtual_cell::worker_leave(const trace_action& what)
+void virtual_cell::worker_leave(const trace_action& trace_entry)
 {
-  if (worker_host* worker = find_worker(what.who))
-    worker->model.faults().leaving = what.number != 0;
+  if (worker_host* worker = find_worker(trace_entry.who))
+    worker->model.faults().leaving = trace_entry.number != 0;
 }
 } // namespace yardhill::replay
--- a/Source/Core/Replay/VirtualCellParts.h
+++ b/Source/Core/Replay/VirtualCellParts.h
@@ -3,22 +3,24 @@
 
 #pragma once
 
-// What a virtual cell keeps of each instance and worker. Only for its own .cpp files.
+// The state that a virtual cell keeps for each instance and worker. Only for VirtualCell*.cpp.
 
 #include "Replay/VirtualCell.h"
 
 namespace yardhill::replay
 {
-inline constexpr duration k_step = std::chrono::milliseconds{1}; // as the event loop rounds timers
-inline constexpr const char* k_store = "store";                  // its name in cuts
+inline constexpr duration k_timer_resolution =
+    std::chrono::milliseconds{1}; // the event loop rounds timers to it
+inline constexpr const char* k_store =
+    "store"; // the name of the table service in `cut` and `heal` actions
 
 struct virtual_cell::live_instance
 {
-  live_instance(const std::string& its_name, std::uint64_t its_life,
+  live_instance(const std::string& its_name, std::uint64_t its_incarnation,
                 const instance::instance_identity& identity, const cell_options& options,
                 metrics& counts, time_point now)
       : name(its_name),
-        life(its_life),
+        incarnation(its_incarnation),
         id(identity.id),
         zone(identity.zone),
         core(identity, options.core, *options.policy, counts, now)
@@ -26,25 +28,25 @@
   }
 
   std::string name;
-  std::uint64_t life;
+  std::uint64_t incarnation;
   instance_id id;
   zone_id zone;
   instance::instance_core core;
   bool paused = false;
-  std::deque<instance::event> waiting;          // while paused
-  std::vector<instance::command> about_to_send; // when it was paused
+  std::deque<instance::event> queued_events;      // received while paused
+  std::vector<instance::command> unsent_commands; // held back while paused
   time_point timer = k_never;
-  bool done = false; // its planned stop is complete
+  bool done = false; // the planned stop is complete
 };
 
 struct virtual_cell::held_claim
 {
   claim_request request;
   std::string from;
-  std::uint64_t life;
+  std::uint64_t incarnation;
   time_point sent_at;
   time_point until;
-  std::shared_ptr<bool> settled; // the caller has an answer, or stopped waiting for one
+  std::shared_ptr<bool> settled; // the instance has the reply, or its call timed out
 };
 
 struct virtual_cell::worker_host
@@ -59,8 +61,9 @@
   std::vector<held_claim> held;
   bool dead = false;
   std::uint64_t boots = 0;
-  time_point planned = k_never;
-  std::map<attempt_id, std::size_t> running; // as the checker was told; position in the record
+  time_point next_wakeup = k_never;
+  std::map<attempt_id, std::size_t>
+      running; // as reported to the checker; the value is the position in the record
   std::size_t recorded = 0;
 };
 } // namespace yardhill::replay
--- a/Source/Core/Replay/WorkerModel.cpp
+++ b/Source/Core/Replay/WorkerModel.cpp
@@ -50,11 +50,11 @@
 
 bool worker_model::has_update_for(const claim_request& request) const
 {
-  return request.term != m_term || request.owner != m_owner || m_told_moment != m_moment ||
+  return request.term != m_term || request.owner != m_owner || m_reported_moment != m_moment ||
          request.acknowledged_boot != m_boot;
 }
 
-bool worker_model::ticket_is_good(std::uint64_t ticket, time_point now) const
+bool worker_model::is_valid_ticket(std::uint64_t ticket, time_point now) const
 {
   return std::ranges::any_of(
       m_tickets, [&](const auto& issued)
@@ -74,8 +74,8 @@
     m_tickets.clear();
     ++m_moment;
   }
-  m_owner_seen = now;
-  if (ticket_is_good(request.ticket, now))
+  m_last_claim_at = now;
+  if (is_valid_ticket(request.ticket, now))
     m_lease_until = now + m_options.task_lease;
   if (request.void_tickets)
     m_tickets.clear();
@@ -97,17 +97,17 @@
   answer.accepted = request.term != 0 && request.term == m_term && request.owner == m_owner;
   answer.term = m_term;
   answer.owner = m_owner;
-  answer.owner_age = m_term == 0 ? m_options.task_lease : now - m_owner_seen;
+  answer.owner_age = m_term == 0 ? m_options.task_lease : now - m_last_claim_at;
   answer.boot = m_boot;
   answer.leaving = m_faults.leaving;
   answer.moment = m_moment;
   if (!answer.accepted)
     return answer;
-  m_told_moment = m_moment;
+  m_reported_moment = m_moment;
   answer.ticket = m_next_ticket++;
   m_tickets.emplace_back(answer.ticket, now);
-  constexpr std::size_t kept_tickets = 64;
-  if (m_tickets.size() > kept_tickets)
+  constexpr std::size_t max_tickets = 64;
+  if (m_tickets.size() > max_tickets)
     m_tickets.pop_front();
   for (const auto& [id, running] : m_running)
     answer.running.push_back({id, running.term == m_term ? std::string{} : running.order.spec});
@@ -117,11 +117,11 @@
     if (m_ended_terms.at(ended.id) == m_term)
       answer.ended.back().spec.clear();
   }
-  answer.used = measured(now);
+  answer.used = current_usage(now);
   return answer;
 }
 
-resources worker_model::measured(time_point now) const
+resources worker_model::current_usage(time_point now) const
 {
   resources sum;
   for (const auto& [id, task] : m_running)
@@ -136,8 +136,8 @@
   return sum;
 }
 
-start_refusal worker_model::judge(const start_request& request, const start_order& order,
-                                  time_point now) const
+start_refusal worker_model::check_start(const start_request& request, const start_order& order,
+                                        time_point now) const
 {
   if (request.term != m_term || request.owner != m_owner)
     return start_refusal::lower_term;
@@ -145,9 +145,9 @@
     return start_refusal::other_boot;
   if (m_running.contains(order.id))
     return start_refusal::none;
-  if (m_taken.contains(order.id))
+  if (m_accepted_attempts.contains(order.id))
     return start_refusal::already_ran;
-  if (!ticket_is_good(request.ticket, now))
+  if (!is_valid_ticket(request.ticket, now))
     return start_refusal::old_ticket;
   if (m_faults.leaving)
     return start_refusal::leaving;
@@ -161,7 +161,7 @@
   start_answer answer;
   for (const start_order& order : request.orders)
   {
-    const start_refusal refusal = judge(request, order, now);
+    const start_refusal refusal = check_start(request, order, now);
     answer.results.push_back({order.id, refusal});
     if (refusal == start_refusal::none && !m_running.contains(order.id))
       begin(request, order, now);
@@ -188,7 +188,7 @@
   m_granted += order.demand;
   if (!m_granted.fits_in(m_config.capacity))
     ++m_overcommitted;
-  m_taken.insert(order.id);
+  m_accepted_attempts.insert(order.id);
   m_running.emplace(order.id, std::move(task));
   m_lease_until = std::max(m_lease_until, now + m_options.task_lease);
   ++m_moment;
@@ -227,14 +227,14 @@
 
 void worker_model::advance(time_point now)
 {
-  std::vector<std::pair<time_point, attempt_id>> over;
+  std::vector<std::pair<time_point, attempt_id>> finished;
   for (const auto& [id, task] : m_running)
   {
     if (task.ends <= now)
-      over.emplace_back(task.ends, id);
+      finished.emplace_back(task.ends, id);
   }
-  std::ranges::sort(over);
-  for (const auto& [at, id] : over)
+  std::ranges::sort(finished);
+  for (const auto& [at, id] : finished)
     end(id, m_running.at(id).plan.fails ? attempt_result::failed : attempt_result::done, at);
   if (m_running.empty() || now < m_lease_until)
     return;
@@ -265,7 +265,7 @@
   m_running.clear();
   m_ended.clear();
   m_ended_terms.clear();
-  m_taken.clear();
+  m_accepted_attempts.clear();
   m_tickets.clear();
   m_granted = {};
   m_term = 0;
--- a/Source/UnitTests/Replay/ExplorerTest.cpp
+++ b/Source/UnitTests/Replay/ExplorerTest.cpp
@@ -1,9 +1,9 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Random troubles from seeds, checked after every step. A failing seed is printed as a trace that
-// can be put into Traces/ when YARDHILL_PRINT_TRACE is set. YARDHILL_SEEDS=FIRST-LAST runs other
-// seeds; YARDHILL_LOG tells what happens in them.
+// Runs traces with random faults, generated from seeds, and checks the invariants after every step.
+// If YARDHILL_PRINT_TRACE is set, a failing seed is printed as a trace that can be put into
+// Traces/. YARDHILL_SEEDS=FIRST-LAST runs other seeds; YARDHILL_LOG logs the events of each run.
 
 #include <cstdlib>
 #include <iostream>
@@ -19,17 +19,17 @@
 
 namespace
 {
-constexpr duration k_trouble = std::chrono::seconds{30};
+constexpr duration k_fault_period = std::chrono::seconds{30};
 
-// What does not hold, or nothing.
+// Returns the violated invariant; empty if the run passed.
 std::string run_seed(std::uint64_t seed)
 {
-  const trace made = explore(seed, k_trouble);
+  const trace generated = generate_trace(seed, k_fault_period);
   cell_options options;
   if (std::getenv("YARDHILL_LOG") != nullptr)
-    options.log = [](time_point at, const std::string& who, const std::string& what)
-    { std::cerr << at.time_since_epoch().count() << ' ' << who << ' ' << what << '\n'; };
-  virtual_cell cell(made, built_in_document(made.header, 2), options);
+    options.log = [](time_point at, const std::string& source, const std::string& message)
+    { std::cerr << at.time_since_epoch().count() << ' ' << source << ' ' << message << '\n'; };
+  virtual_cell cell(generated, built_in_document(generated.header, 2), options);
   cell.run();
   cell.check_end();
   return cell.checker().failed() ? cell.checker().failure() : std::string{};
@@ -42,7 +42,7 @@
     const std::string failure = run_seed(seed);
     BOOST_TEST(failure == "", "seed " << seed << ": " << failure << "\n"
                                       << (std::getenv("YARDHILL_PRINT_TRACE") != nullptr
-                                              ? to_json_lines(explore(seed, k_trouble))
+                                              ? to_json_lines(generate_trace(seed, k_fault_period))
                                               : ""));
   }
 }
--- a/Source/UnitTests/Replay/TakeoverTest.cpp
+++ b/Source/UnitTests/Replay/TakeoverTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// How long a takeover takes, in virtual time.
+// Measures in virtual time how long the takeover of a partition takes.
 
 #include <boost/test/unit_test.hpp>
 
@@ -21,7 +21,7 @@
   return action;
 }
 
-// From the owner's end to the start of a preview that was sent right after it.
+// The time from the end of the owner to the start of a preview submitted 10 ms after that.
 duration time_to_start(action_kind how_it_ends)
 {
   trace recorded;
@@ -47,7 +47,7 @@
 
 BOOST_AUTO_TEST_SUITE(takeover)
 
-// a-1 owns the zone: all three start together, and it is first in line.
+// a-1 owns the zone's partition: all three instances start together and a-1 ranks first.
 BOOST_AUTO_TEST_CASE(a_killed_owner_is_replaced_within_the_time_for_urgent_work)
 {
   BOOST_TEST(time_to_start(action_kind::kill).count() < 2'000'000);
--- a/Source/UnitTests/Replay/TraceTest.cpp
+++ b/Source/UnitTests/Replay/TraceTest.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// The committed traces: each breaks things and mends them, and everything holds throughout.
+// Runs the committed traces. Each causes faults and repairs them; all invariants must hold
+// throughout.
 
 #include <algorithm>
 #include <filesystem>
@@ -42,7 +43,7 @@
 
 BOOST_AUTO_TEST_SUITE(traces)
 
-BOOST_AUTO_TEST_CASE(everything_holds_in_each)
+BOOST_AUTO_TEST_CASE(every_committed_trace_keeps_the_invariants)
 {
   const auto paths = committed_traces();
   BOOST_REQUIRE(!paths.empty());
@@ -65,8 +66,8 @@
   {
     std::string text;
     cell_options options;
-    options.log = [&text](time_point at, const std::string& who, const std::string& what)
-    { text += std::to_string(at.time_since_epoch().count()) + who + what + "\n"; };
+    options.log = [&text](time_point at, const std::string& source, const std::string& message)
+    { text += std::to_string(at.time_since_epoch().count()) + source + message + "\n"; };
     virtual_cell cell(recorded, built_in_document(recorded.header, 2), options);
     cell.run();
     return text;
@@ -74,7 +75,7 @@
   BOOST_TEST((log_of() == log_of()));
 }
 
-BOOST_AUTO_TEST_CASE(a_trace_comes_back_from_its_text)
+BOOST_AUTO_TEST_CASE(a_trace_survives_a_round_trip_through_its_text)
 {
   const trace recorded = read_trace(committed_traces().front());
   BOOST_TEST(to_json_lines(parse_trace(to_json_lines(recorded))) == to_json_lines(recorded));
