--- a/Source/Yardhill/Job.cpp
+++ b/Source/Yardhill/Job.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill job: calls instances on the platform, either for a single job of one of a yard's kinds
-// or to generate the load of a whole yard.
+// yardhill job: calls instances on the platform, either for a single job of one of a load_profile's kinds
+// or to generate the load of a whole load_profile.
 
 #include <cstdio>
 #include <fstream>
@@ -73,21 +73,21 @@
   return addresses;
 }
 
-load::yard read_yard(const parsed_arguments& parsed)
+load::load_profile read_yard(const parsed_arguments& parsed)
 {
   const common::loaded_file file = read_file(parsed.at("--yard").asString());
   common::problem_list problems;
-  auto yard = load::parse_yard(file.text, file.file, problems);
+  auto load_profile = load::parse_load_profile(file.text, file.file, problems);
   print_problems(problems);
-  if (!yard)
+  if (!load_profile)
     throw std::runtime_error(file.file + " is not a valid yard");
-  return *std::move(yard);
+  return *std::move(load_profile);
 }
 
-const load::job_kind& find_kind(const parsed_arguments& parsed, const load::yard& yard)
+const load::job_kind& find_kind(const parsed_arguments& parsed, const load::load_profile& load_profile)
 {
   const std::string name = parsed.at("--kind").asString();
-  for (const load::job_kind& kind : yard.kinds)
+  for (const load::job_kind& kind : load_profile.kinds)
   {
     if (kind.name == name)
       return kind;
@@ -105,14 +105,14 @@
   return text;
 }
 
-std::vector<load::planned_job> make_plan(const parsed_arguments& parsed, const load::yard& yard)
+std::vector<load::planned_job> make_plan(const parsed_arguments& parsed, const load::load_profile& load_profile)
 {
   load::load_options options;
   options.length = std::chrono::duration_cast<common::duration>(
       std::chrono::duration<double>(std::stod(parsed.at("--seconds").asString())));
   options.rate_share = std::stod(parsed.at("--rate").asString());
   options.seed = std::stoull(parsed.at("--seed").asString());
-  return load::plan_load(yard, options);
+  return load::plan_load(load_profile, options);
 }
 
 jobs::job_spec make_job_spec(const parsed_arguments& parsed, const load::job_kind& kind)
@@ -120,7 +120,7 @@
   jobs::job_spec spec;
   const auto& payload = parsed.at("--payload");
   spec.payload = payload ? payload.asString() : kind.name;
-  for (const load::yard_step& step : kind.steps)
+  for (const load::load_profile_step& step : kind.steps)
     spec.steps.push_back(step.spec);
   return spec;
 }
@@ -142,8 +142,8 @@
 
 int call_once(const parsed_arguments& parsed)
 {
-  const load::yard yard = read_yard(parsed);
-  const load::job_kind& kind = find_kind(parsed, yard);
+  const load::load_profile load_profile = read_yard(parsed);
+  const load::job_kind& kind = find_kind(parsed, load_profile);
   const common::endpoint to = parse_addresses(parsed).front();
   const std::string id = parsed.at("pending").asBool() ? std::string() : given_or_new_id(parsed);
   boost::asio::io_context io(1);
@@ -165,16 +165,16 @@
 
 int run_load(const parsed_arguments& parsed)
 {
-  const load::yard yard = read_yard(parsed);
-  const std::vector<load::planned_job> plan = make_plan(parsed, yard);
+  const load::load_profile load_profile = read_yard(parsed);
+  const std::vector<load::planned_job> plan = make_plan(parsed, load_profile);
   boost::asio::io_context io(1);
   node::asio_timekeeper time(io);
   http::http_client http(io, k_client_options);
   adapter::caller_client caller(http);
-  load::load_runner runner(time, caller, yard, parse_addresses(parsed), {});
+  load::load_runner runner(time, caller, load_profile, parse_addresses(parsed), {});
   runner.play(plan, [&io] { io.stop(); });
   io.run();
-  const auto reports = load::report_by_kind(yard, runner.jobs());
+  const auto reports = load::report_by_kind(load_profile, runner.jobs());
   std::fputs(parsed.at("--json").asBool() ? (load::to_json(reports) + "\n").c_str()
                                           : load::to_table(reports).c_str(),
              stdout);
@@ -182,7 +182,7 @@
   {
     std::ofstream file(path.asString());
     for (const load::played_job& job : runner.jobs())
-      file << load::to_line(yard, job) << "\n";
+      file << load::to_line(load_profile, job) << "\n";
     if (!file.flush())
       throw std::runtime_error("cannot write " + path.asString());
   }
@@ -191,9 +191,9 @@
 
 int print_plan(const parsed_arguments& parsed)
 {
-  const load::yard yard = read_yard(parsed);
-  for (const load::planned_job& job : make_plan(parsed, yard))
-    std::printf("%s\n", load::to_line(yard, job).c_str());
+  const load::load_profile load_profile = read_yard(parsed);
+  for (const load::planned_job& job : make_plan(parsed, load_profile))
+    std::printf("%s\n", load::to_line(load_profile, job).c_str());
   return k_done;
 }
 } // namespace
