--- a/Source/Core/Peer/FrameCodec.cpp
+++ b/Source/Core/Peer/FrameCodec.cpp
@@ -11,11 +11,12 @@
 {
 namespace
 {
-// Deeper or larger tables than these are no frames of ours.
-constexpr flatbuffers::uoffset_t k_most_depth = 16;
-constexpr flatbuffers::uoffset_t k_most_tables = 100'000;
+// Limits for the FlatBuffers verifier. Frames with deeper nesting or more tables than a
+// peer message has are rejected.
+constexpr flatbuffers::uoffset_t k_max_depth = 16;
+constexpr flatbuffers::uoffset_t k_max_tables = 100'000;
 
-// --- to the wire ---
+// --- Encoding ---
 
 wire::ResourcesT to_wire(const resources& from)
 {
@@ -263,7 +264,7 @@
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-// --- from the wire ---
+// --- Decoding ---
 
 template<class enum_type>
 std::optional<enum_type> enum_from(std::uint8_t value)
@@ -397,7 +398,7 @@
 
 std::optional<frame> decode(std::span<const std::uint8_t> bytes)
 {
-  flatbuffers::Verifier verifier(bytes.data(), bytes.size(), k_most_depth, k_most_tables);
+  flatbuffers::Verifier verifier(bytes.data(), bytes.size(), k_max_depth, k_max_tables);
   if (!verifier.VerifySizePrefixedBuffer<wire::Frame>(nullptr))
     return std::nullopt;
   wire::FrameT parsed;
--- a/Source/Core/Peer/FrameCodec.h
+++ b/Source/Core/Peer/FrameCodec.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Peer messages as frames: a FlatBuffer behind its length in four bytes, least significant first.
+// Encodes and decodes peer messages as frames. A frame is a FlatBuffer preceded by its length in
+// four bytes, little-endian.
 
 #include <cstdint>
 #include <optional>
@@ -19,10 +20,11 @@
 
 inline constexpr std::uint32_t k_protocol_version = 1;
 inline constexpr std::size_t k_length_bytes = 4;
-// A configuration or an answer of a few megabytes fits; anything larger is an error.
+// Upper bound of the announced length. It admits a configuration or an answer of a few megabytes;
+// a larger frame is treated as an error.
 inline constexpr std::uint32_t k_most_frame_bytes = 16U << 20U;
 
-// The first frame in each direction of a connection.
+// Handshake: the first frame in each direction of a connection.
 struct hello
 {
   std::uint32_t protocol = k_protocol_version;
@@ -32,14 +34,15 @@
   std::uint16_t port = 0;
 };
 
-// The whole frame, length included.
+// Returns the whole frame, including the length prefix.
 std::string encode(const hello& message);
 std::string encode(const peer_message& message);
 
-// The length that a frame's first bytes announce; none when it is out of bounds.
+// Returns the length announced by the length prefix of a frame, without the prefix itself, or
+// nullopt if the length is 0 or above the upper bound.
 std::optional<std::uint32_t> frame_length(std::span<const std::uint8_t, k_length_bytes> bytes);
 
 using frame = std::variant<hello, peer_message>;
-// A whole frame, length included. None when it is not a valid one.
+// Decodes a whole frame, including the length prefix. Returns nullopt if the frame is not valid.
 std::optional<frame> decode(std::span<const std::uint8_t> bytes);
 } // namespace yardhill::peer
--- a/Source/Core/Peer/FrameConnection.cpp
+++ b/Source/Core/Peer/FrameConnection.cpp
@@ -19,13 +19,14 @@
 using tcp = asio::ip::tcp;
 using error_code = boost::system::error_code;
 
-// Bytes that stay unacknowledged for this long break the link, so that a peer that has vanished
-// without a word is reported as unlinked.
+// TCP_USER_TIMEOUT: the kernel closes the connection when sent data stays unacknowledged for this
+// long, so that a peer that disappears without closing its connections is reported as unlinked.
 constexpr int k_user_timeout_ms = 1500;
-// What may wait to be sent to one peer; a peer that takes less is cut off and asked again later.
-constexpr std::size_t k_most_unsent_bytes = 4U << 20U;
-// A larger buffer is given back once its frame was read.
-constexpr std::size_t k_kept_bytes = 64U << 10U;
+// Limit of the send queue of one connection. The connection to a peer that reads too slowly is
+// closed and dialled again later.
+constexpr std::size_t k_max_unsent_bytes = 4U << 20U;
+// A read buffer that is larger than this is freed after its frame has been decoded.
+constexpr std::size_t k_max_idle_buffer_bytes = 64U << 10U;
 } // namespace
 
 frame_connection::frame_connection(tcp::socket socket, frame_handler on_frame,
@@ -44,7 +45,7 @@
   if (m_closed)
     return;
   m_unsent_bytes += bytes.size();
-  if (m_unsent.size() > 1 && m_unsent_bytes > k_most_unsent_bytes)
+  if (m_unsent.size() > 1 && m_unsent_bytes > k_max_unsent_bytes)
   {
     close("takes its messages too slowly");
     return;
@@ -91,21 +92,21 @@
                      if (error)
                        self->close(error.message());
                      else
-                       self->take_frame();
+                       self->handle_frame();
                    });
 }
 
-void frame_connection::take_frame()
+void frame_connection::handle_frame()
 {
-  std::optional<frame> taken = decode(m_body);
-  if (!taken)
+  std::optional<frame> decoded_frame = decode(m_body);
+  if (!decoded_frame)
   {
     close("bad frame: not a valid message");
     return;
   }
-  if (m_body.capacity() > k_kept_bytes)
+  if (m_body.capacity() > k_max_idle_buffer_bytes)
     std::vector<std::uint8_t>().swap(m_body);
-  m_on_frame(shared_from_this(), std::move(*taken));
+  m_on_frame(shared_from_this(), std::move(*decoded_frame));
   if (!m_closed)
     read_length();
 }
--- a/Source/Core/Peer/FrameConnection.h
+++ b/Source/Core/Peer/FrameConnection.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// One TCP connection to a peer: reads frames, writes frames, closes once.
+// One TCP connection to a peer: reads and writes frames, and reports its closing exactly once.
 
 #include <array>
 #include <cstddef>
@@ -31,19 +31,20 @@
                    close_handler on_close);
 
   void start() { read_length(); }
-  // Bytes of a whole frame. Closes the connection if the peer takes its frames too slowly.
+  // Queues the bytes of a whole frame. Closes the connection if the peer reads too slowly, that is,
+  // if at least two frames are queued already and more than 4 MiB would be queued with this one.
   void send(std::string bytes);
   void close(const std::string& why);
 
-  // Nothing waits to be sent.
+  // Returns whether the send queue is empty.
   bool drained() const { return m_unsent.empty(); }
 
-  instance_id peer; // known after its hello
+  instance_id peer; // empty until the hello of the peer has been received
 
 private:
   void read_length();
   void read_body();
-  void take_frame();
+  void handle_frame();
   void write_next();
 
   boost::asio::ip::tcp::socket m_socket;
--- a/Source/Core/Peer/PeerMesh.cpp
+++ b/Source/Core/Peer/PeerMesh.cpp
@@ -22,9 +22,10 @@
 using tcp = asio::ip::tcp;
 using error_code = boost::system::error_code;
 
-constexpr std::chrono::milliseconds k_redial_first{100};
-constexpr std::chrono::milliseconds k_redial_most{1000};
-// A machine without power or behind a cut never answers; links within a region take 3 ms.
+constexpr std::chrono::milliseconds k_first_redial_delay{100};
+constexpr std::chrono::milliseconds k_max_redial_delay{1000};
+// A machine that is switched off or unreachable never answers a connection attempt. A link within a
+// region takes 3 ms.
 constexpr std::chrono::milliseconds k_connect_timeout{1000};
 } // namespace
 
@@ -66,19 +67,19 @@
                });
   }
 
-  void close(duration patience)
+  void close(duration timeout)
   {
-    const auto until = std::chrono::steady_clock::now() + patience;
-    std::atomic<bool> drained = false;
-    while (!drained && std::chrono::steady_clock::now() < until)
+    const auto until = std::chrono::steady_clock::now() + timeout;
+    std::atomic<bool> all_drained = false;
+    while (!all_drained && std::chrono::steady_clock::now() < until)
     {
       asio::post(m_context,
-                 [this, &drained]
+                 [this, &all_drained]
                  {
                    bool all = true;
                    for (const auto& [peer, link] : m_outgoing)
                      all = all && link->drained();
-                   drained = all;
+                   all_drained = all;
                  });
       std::this_thread::sleep_for(std::chrono::milliseconds{5});
     }
@@ -86,11 +87,11 @@
   }
 
 private:
-  struct dialled
+  struct dialled_peer
   {
     endpoint where;
     std::unique_ptr<asio::steady_timer> timer;
-    std::chrono::milliseconds delay = k_redial_first;
+    std::chrono::milliseconds delay = k_first_redial_delay;
   };
 
   struct incoming_link
@@ -105,21 +106,22 @@
         [this](const error_code& error, tcp::socket socket)
         {
           if (!error)
-            accepted(std::move(socket));
+            handle_accepted(std::move(socket));
           accept_next();
         });
   }
 
-  void accepted(tcp::socket socket)
+  void handle_accepted(tcp::socket socket)
   {
     const auto link = std::make_shared<frame_connection>(
         std::move(socket),
-        [this](const auto& from, frame received) { incoming_frame(from, std::move(received)); },
-        [this](const auto& from, const std::string& why) { incoming_closed(from, why); });
+        [this](const auto& from, frame received)
+        { handle_incoming_frame(from, std::move(received)); },
+        [this](const auto& from, const std::string& why) { handle_incoming_closed(from, why); });
     link->start();
   }
 
-  void incoming_frame(const frame_connection::pointer& link, frame received)
+  void handle_incoming_frame(const frame_connection::pointer& link, frame received)
   {
     if (const auto* greeting = std::get_if<hello>(&received))
     {
@@ -132,7 +134,7 @@
       m_incoming[link->peer] = {link, greeting->zone};
       link->send(encode(m_self));
       start_dialling({greeting->address, greeting->port});
-      report(link->peer);
+      report_link_change(link->peer);
       return;
     }
     if (link->peer.empty())
@@ -143,18 +145,18 @@
     m_events.received(link->peer, std::move(std::get<peer_message>(received)));
   }
 
-  void incoming_closed(const frame_connection::pointer& link, const std::string& why)
+  void handle_incoming_closed(const frame_connection::pointer& link, const std::string& why)
   {
-    complain(link->peer, why);
+    report_close(link->peer, why);
     const auto found = m_incoming.find(link->peer);
     if (found == m_incoming.end() || found->second.link != link)
       return;
     m_incoming.erase(found);
-    report(link->peer);
+    report_link_change(link->peer);
   }
 
-  // Tells of a change in whether both connections of the peer stand.
-  void report(const instance_id& peer)
+  // Calls `linked` or `unlinked` if the peer has gained its second open connection or lost one.
+  void report_link_change(const instance_id& peer)
   {
     const auto incoming = m_incoming.find(peer);
     const bool both = incoming != m_incoming.end() && m_outgoing.contains(peer);
@@ -168,7 +170,7 @@
   {
     if (where == endpoint{m_self.address, m_self.port})
       return;
-    const auto [entry, added] = m_dialled.try_emplace(to_text(where));
+    const auto [entry, added] = m_dialled_peers.try_emplace(to_text(where));
     if (!added)
       return;
     entry->second.where = where;
@@ -176,7 +178,7 @@
     connect(entry->second);
   }
 
-  void connect(dialled& target)
+  void connect(dialled_peer& target)
   {
     error_code error;
     const auto address = asio::ip::make_address(target.where.address, error);
@@ -198,24 +200,25 @@
                             if (failed)
                               redial(target);
                             else
-                              connected(target, std::move(*socket));
+                              handle_connected(target, std::move(*socket));
                           });
   }
 
-  void connected(dialled& target, tcp::socket socket)
+  void handle_connected(dialled_peer& target, tcp::socket socket)
   {
     const auto link = std::make_shared<frame_connection>(
         std::move(socket),
         [this, &target](const auto& from, frame received)
-        { outgoing_frame(target, from, received); },
+        { handle_outgoing_frame(target, from, received); },
         [this, &target](const auto& from, const std::string& why)
-        { outgoing_closed(target, from, why); });
+        { handle_outgoing_closed(target, from, why); });
     link->start();
     link->send(encode(m_self));
   }
 
-  // The other side only ever says hello on a connection that it accepted.
-  void outgoing_frame(dialled& target, const frame_connection::pointer& link, const frame& received)
+  // On a connection that it accepted, a peer sends nothing but its hello.
+  void handle_outgoing_frame(dialled_peer& target, const frame_connection::pointer& link,
+                             const frame& received)
   {
     const auto* greeting = std::get_if<hello>(&received);
     if (greeting == nullptr || greeting->protocol != k_protocol_version || !link->peer.empty())
@@ -223,29 +226,29 @@
       link->close("bad hello");
       return;
     }
-    target.delay = k_redial_first;
+    target.delay = k_first_redial_delay;
     link->peer = greeting->instance;
     m_outgoing[link->peer] = link;
-    report(link->peer);
+    report_link_change(link->peer);
   }
 
-  void outgoing_closed(dialled& target, const frame_connection::pointer& link,
-                       const std::string& why)
+  void handle_outgoing_closed(dialled_peer& target, const frame_connection::pointer& link,
+                              const std::string& why)
   {
-    complain(link->peer, why);
+    report_close(link->peer, why);
     const auto found = m_outgoing.find(link->peer);
     if (found != m_outgoing.end() && found->second == link)
     {
       m_outgoing.erase(found);
-      report(link->peer);
+      report_link_change(link->peer);
     }
     redial(target);
   }
 
-  void redial(dialled& target)
+  void redial(dialled_peer& target)
   {
     target.timer->expires_after(target.delay);
-    target.delay = std::min(target.delay * 2, k_redial_most);
+    target.delay = std::min(target.delay * 2, k_max_redial_delay);
     target.timer->async_wait(
         [this, &target](const error_code& error)
         {
@@ -254,7 +257,7 @@
         });
   }
 
-  void complain(const instance_id& peer, const std::string& why)
+  void report_close(const instance_id& peer, const std::string& why)
   {
     if (why.rfind("bad ", 0) == 0)
       m_metrics.add(counter::bad_frames);
@@ -266,10 +269,10 @@
   metrics& m_metrics;
   asio::io_context m_context;
   tcp::acceptor m_acceptor;
-  std::map<std::string, dialled> m_dialled;
+  std::map<std::string, dialled_peer> m_dialled_peers;
   std::map<instance_id, frame_connection::pointer> m_outgoing;
   std::map<instance_id, incoming_link> m_incoming;
-  std::set<instance_id> m_linked; // as reported
+  std::set<instance_id> m_linked; // peers last reported as linked
   std::thread m_thread;
 };
 
@@ -290,8 +293,8 @@
   m_implementation->send(to, encode(message));
 }
 
-void peer_mesh::close(duration patience)
+void peer_mesh::close(duration timeout)
 {
-  m_implementation->close(patience);
+  m_implementation->close(timeout);
 }
 } // namespace yardhill::peer
--- a/Source/UnitTests/Peer/FrameCodecTest.cpp
+++ b/Source/UnitTests/Peer/FrameCodecTest.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// Frames come back as they were sent; damaged ones come back as nothing.
+// Encoded frames decode to the same message. Truncated frames are rejected, and frames with random
+// damage do not crash the decoder.
 
 #include <random>
 
@@ -42,12 +43,12 @@
   const forward_request sent = sample_request();
   const auto frame = decode(bytes_of(encode(peer_message{sent})));
   BOOST_REQUIRE(frame);
-  const auto& got = std::get<forward_request>(std::get<peer_message>(*frame));
-  BOOST_TEST(got.number == sent.number);
-  BOOST_TEST(got.hops == sent.hops);
-  BOOST_TEST(!got.fresh);
-  BOOST_TEST((got.purpose == sent.purpose));
-  BOOST_TEST((got.spec == sent.spec));
+  const auto& decoded = std::get<forward_request>(std::get<peer_message>(*frame));
+  BOOST_TEST(decoded.number == sent.number);
+  BOOST_TEST(decoded.hops == sent.hops);
+  BOOST_TEST(!decoded.fresh);
+  BOOST_TEST((decoded.purpose == sent.purpose));
+  BOOST_TEST((decoded.spec == sent.spec));
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_of_a_megabyte_of_any_bytes_comes_back_whole)
@@ -59,45 +60,45 @@
     sent.reply.body.push_back(static_cast<char>(index * 31));
   const auto frame = decode(bytes_of(encode(peer_message{sent})));
   BOOST_REQUIRE(frame);
-  const auto& got = std::get<forward_answer>(std::get<peer_message>(*frame));
-  BOOST_TEST((got.reply.body == sent.reply.body));
-  BOOST_TEST((got.reply.result == outcome::done));
+  const auto& decoded = std::get<forward_answer>(std::get<peer_message>(*frame));
+  BOOST_TEST((decoded.reply.body == sent.reply.body));
+  BOOST_TEST((decoded.reply.result == outcome::done));
 }
 
 BOOST_AUTO_TEST_CASE(damaged_frames_are_refused_or_read_without_harm)
 {
-  const std::string whole = encode(peer_message{sample_request()});
+  const std::string intact = encode(peer_message{sample_request()});
   std::mt19937 random(1);
   for (int round = 0; round < 20000; ++round)
   {
-    std::string damaged = whole;
-    for (int hit = 0; hit < 3; ++hit)
+    std::string damaged = intact;
+    for (int damaged_byte = 0; damaged_byte < 3; ++damaged_byte)
       damaged[random() % damaged.size()] = static_cast<char>(random());
     damaged.resize(random() % (damaged.size() + 1));
-    decode(bytes_of(damaged)); // must not crash; the sanitizers watch when they are on
+    decode(bytes_of(damaged)); // must not crash; sanitizer builds also detect invalid reads
   }
-  BOOST_TEST(!decode(bytes_of(whole.substr(0, whole.size() - 1))));
+  BOOST_TEST(!decode(bytes_of(intact.substr(0, intact.size() - 1))));
   BOOST_TEST(!decode({}));
 }
 
 BOOST_AUTO_TEST_CASE(lengths_out_of_bounds_are_refused)
 {
-  const std::array<std::uint8_t, 4> none{};
+  const std::array<std::uint8_t, 4> zero{};
   const std::array<std::uint8_t, 4> huge{0, 0, 0, 0x40};
-  const std::array<std::uint8_t, 4> fine{0, 1, 0, 0};
-  BOOST_TEST(!frame_length(none));
+  const std::array<std::uint8_t, 4> valid{0, 1, 0, 0};
+  BOOST_TEST(!frame_length(zero));
   BOOST_TEST(!frame_length(huge));
-  BOOST_TEST(frame_length(fine).value_or(0) == 256U);
+  BOOST_TEST(frame_length(valid).value_or(0) == 256U);
 }
 
 BOOST_AUTO_TEST_CASE(messages_between_instances_on_the_platform_survive_the_way)
 {
-  advice_request question{7, "job", 1, 2, 450, {"w1", "w2"}};
-  auto frame = decode(bytes_of(encode(peer_message{question})));
+  advice_request sent_request{7, "job", 1, 2, 450, {"w1", "w2"}};
+  auto frame = decode(bytes_of(encode(peer_message{sent_request})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  const auto asked = std::get<advice_request>(std::get<peer_message>(*frame));
-  BOOST_TEST(asked.number == 7U);
-  BOOST_TEST(asked.workers == question.workers, boost::test_tools::per_element());
+  const auto decoded_request = std::get<advice_request>(std::get<peer_message>(*frame));
+  BOOST_TEST(decoded_request.number == 7U);
+  BOOST_TEST(decoded_request.workers == sent_request.workers, boost::test_tools::per_element());
 
   frame = decode(bytes_of(encode(peer_message{advice_reply{7, true, 2500, {{"w1", "ticket"}}}})));
   BOOST_TEST_REQUIRE(frame.has_value());
