--- a/Source/Core/Gateway/AnswerForm.h
+++ b/Source/Core/Gateway/AnswerForm.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// How an answer looks over HTTP.
+// Converts answers to HTTP responses: status code and body.
 
 #include <string>
 
@@ -21,9 +21,10 @@
   bool is_result = false; // the body is the task's result, byte for byte; else it is JSON
 };
 
-// `done` gives the result's bytes; all else is JSON with code, reason, step, peer, retry_after_ms.
+// The body for outcome `done` is the bytes of the result. For every other outcome the body is JSON
+// with code, reason, step, peer, retry_after_ms and further fields.
 http_form form_of(const answer& value);
 http_form form_of(const instance::answer_apply& value);
-// For a request that never became a task.
+// Builds the refusal of a request for which no task was created.
 answer bad_request(refusal_reason reason, std::string detail);
 } // namespace yardhill::gateway
--- a/Source/Core/Gateway/HttpGateway.cpp
+++ b/Source/Core/Gateway/HttpGateway.cpp
@@ -24,8 +24,8 @@
 using web::http::status_codes;
 using web::http::experimental::listener::http_listener;
 
-constexpr const char* k_json = "application/json";
-constexpr const char* k_bytes = "application/octet-stream";
+constexpr const char* k_json_type = "application/json";
+constexpr const char* k_bytes_type = "application/octet-stream";
 constexpr std::int64_t k_ms_per_second = 1000;
 
 std::string url_of(const endpoint& where)
@@ -44,7 +44,8 @@
         {
           sent.get();
         }
-        catch (const std::exception&) // NOLINT(bugprone-empty-catch): the caller hung up
+        catch (
+            const std::exception&) // NOLINT(bugprone-empty-catch): the caller closed the connection
         {
         }
       });
@@ -55,7 +56,7 @@
   const http_form form = form_of(value);
   http_response response(static_cast<web::http::status_code>(form.status));
   response.set_body(std::vector<unsigned char>(form.body.begin(), form.body.end()));
-  response.headers().set_content_type(form.is_result ? k_bytes : k_json);
+  response.headers().set_content_type(form.is_result ? k_bytes_type : k_json_type);
   auto& headers = response.headers();
   if (!value.task.empty())
     headers.add("Yardhill-Task", value.task.value);
@@ -75,7 +76,8 @@
         {
           sent.get();
         }
-        catch (const std::exception&) // NOLINT(bugprone-empty-catch): the caller hung up
+        catch (
+            const std::exception&) // NOLINT(bugprone-empty-catch): the caller closed the connection
         {
         }
       });
@@ -107,12 +109,12 @@
   {
     const http_form form = form_of(value);
     if (auto request = take_waiting(value.number))
-      reply_text(*request, form.status, form.body, k_json);
+      reply_text(*request, form.status, form.body, k_json_type);
   }
 
   std::size_t waiting() const
   {
-    const std::lock_guard hold(m_lock);
+    const std::lock_guard lock(m_lock);
     return m_waiting.size();
   }
 
@@ -148,9 +150,9 @@
     constexpr std::string_view tasks = "/v1/tasks/";
     const bool of_task = path.starts_with(tasks);
     if (of_task && request.method() == methods::GET)
-      ask(request, path.substr(tasks.size()), request_purpose::status);
+      request_task(request, path.substr(tasks.size()), request_purpose::status);
     else if (of_task && request.method() == methods::DEL)
-      ask(request, path.substr(tasks.size()), request_purpose::cancel);
+      request_task(request, path.substr(tasks.size()), request_purpose::cancel);
     else
       refuse_now(request, refusal_reason::unknown_task, "there is nothing at this path");
   }
@@ -161,7 +163,8 @@
     reply_answer(request, bad_request(reason, detail));
   }
 
-  // Reads the body if its announced size is within bounds; else answers without reading it.
+  // Reads the body and passes it to `then`. If Content-Length is missing or above the limit, or too
+  // many requests are in flight, the request is refused without reading the body.
   template<class next>
   void with_body(const http_request& request, const next& then)
   {
@@ -196,9 +199,9 @@
         });
   }
 
-  std::uint64_t keep_waiting(const http_request& request)
+  std::uint64_t add_waiting(const http_request& request)
   {
-    const std::lock_guard hold(m_lock);
+    const std::lock_guard lock(m_lock);
     const std::uint64_t number = m_next_number++;
     m_waiting.emplace(number, request);
     return number;
@@ -206,7 +209,7 @@
 
   std::optional<http_request> take_waiting(std::uint64_t number)
   {
-    const std::lock_guard hold(m_lock);
+    const std::lock_guard lock(m_lock);
     const auto found = m_waiting.find(number);
     if (found == m_waiting.end())
       return std::nullopt;
@@ -224,9 +227,9 @@
       reply_answer(request, *refusal);
       return;
     }
-    request_type made = std::move(std::get<request_type>(read));
-    made.number = keep_waiting(request);
-    m_backend.deliver(std::move(made));
+    request_type parsed_request = std::move(std::get<request_type>(read));
+    parsed_request.number = add_waiting(request);
+    m_backend.deliver(std::move(parsed_request));
   }
 
   void submit(const http_request& request)
@@ -241,7 +244,7 @@
               [this, request](const std::string& body) { deliver(request, read_apply(body)); });
   }
 
-  void ask(const http_request& request, const std::string& task, request_purpose purpose)
+  void request_task(const http_request& request, const std::string& task, request_purpose purpose)
   {
     const std::size_t slash = task.find('/');
     if (slash == std::string::npos)
@@ -250,28 +253,28 @@
                  "a task is named by its workload, a slash and its key");
       return;
     }
-    instance::caller_request asked;
-    asked.purpose = purpose;
-    asked.workload = workload_id{task.substr(0, slash)};
-    asked.key = task.substr(slash + 1);
-    asked.number = keep_waiting(request);
-    m_backend.deliver(std::move(asked));
+    instance::caller_request task_request;
+    task_request.purpose = purpose;
+    task_request.workload = workload_id{task.substr(0, slash)};
+    task_request.key = task.substr(slash + 1);
+    task_request.number = add_waiting(request);
+    m_backend.deliver(std::move(task_request));
   }
 
   void show_config(const http_request& request)
   {
-    reply_text(request, status_codes::OK, m_backend.configuration(), k_json);
+    reply_text(request, status_codes::OK, m_backend.configuration(), k_json_type);
   }
 
   void show_status(const http_request& request)
   {
-    reply_text(request, status_codes::OK, m_backend.status_page(), k_json);
+    reply_text(request, status_codes::OK, m_backend.status_page(), k_json_type);
   }
 
   void drain(const http_request& request)
   {
     m_backend.deliver(instance::stop_asked{});
-    reply_text(request, status_codes::Accepted, "{\"code\":\"stopping\"}\n", k_json);
+    reply_text(request, status_codes::Accepted, "{\"code\":\"stopping\"}\n", k_json_type);
   }
 
   void show_health(const http_request& request)
--- a/Source/Core/Gateway/HttpGateway.h
+++ b/Source/Core/Gateway/HttpGateway.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The interface towards callers and operators, over HTTP. docs/API.md describes it.
+// The HTTP interface for callers and operators. docs/API.md describes its paths and formats.
 
 #include <cstdint>
 #include <functional>
@@ -19,7 +19,7 @@
 {
 using namespace common;
 
-// What the gateway needs of the instance behind it. All may be called from any thread.
+// The functions of the instance that the gateway calls. Each may be called from any thread.
 struct gateway_backend
 {
   std::function<void(instance::event)> deliver;
@@ -34,12 +34,13 @@
   http_gateway(const instance_settings& settings, gateway_backend backend, metrics& counts);
   ~http_gateway();
 
-  // Throws on an address that cannot be listened on.
+  // Starts to listen. Throws if it cannot listen on the configured address.
   void open();
   void close();
 
   void reply_to_caller(const instance::answer_caller& reply);
   void reply_to_operator(const instance::answer_apply& reply);
+  // Returns the number of requests that have not been answered yet.
   std::size_t waiting() const;
 
 private:
--- a/Source/Core/Gateway/RequestReader.cpp
+++ b/Source/Core/Gateway/RequestReader.cpp
@@ -13,8 +13,8 @@
 {
 namespace
 {
-constexpr std::size_t k_most_key_bytes = 200;
-constexpr std::int64_t k_most_base = INT64_MAX;
+constexpr std::size_t k_max_key_bytes = 200;
+constexpr std::int64_t k_max_base_version = INT64_MAX;
 
 answer malformed(const problem_list& problems)
 {
@@ -26,13 +26,14 @@
 
 void check_key(field_reader& in, const std::string& key)
 {
-  if (key.size() > k_most_key_bytes)
+  if (key.size() > k_max_key_bytes)
     in.problem("key", "is too long", "at most 200 bytes");
   if (key.find(k_minted_mark) != std::string::npos)
     in.problem("key", "holds a ~", "a key without ~");
 }
 
-// The whole body as an object; notes a problem otherwise. nlohmann refuses text that is not UTF-8.
+// Parses the whole body as a JSON object. If it is not one, adds a problem and returns nullopt.
+// nlohmann rejects text that is not UTF-8.
 std::optional<nlohmann::json> read_object(const std::string& body, problem_list& problems)
 {
   std::optional<nlohmann::json> document = parse_with_comments(body, "request", problems);
@@ -79,7 +80,7 @@
     return malformed(problems);
   field_reader in(*document, "request", "", problems);
   instance::apply_request request;
-  request.base = static_cast<std::uint64_t>(in.integer("base", {0, k_most_base}));
+  request.base = static_cast<std::uint64_t>(in.integer("base", {0, k_max_base_version}));
   request.apply_id = in.text("apply_id");
   request.document = in.text("document");
   in.finish();
--- a/Source/Core/Gateway/RequestReader.h
+++ b/Source/Core/Gateway/RequestReader.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Reads a caller's or operator's request out of its JSON.
+// Parses the JSON requests of callers and operators.
 
 #include <string>
 #include <variant>
@@ -15,7 +15,7 @@
 {
 using namespace common;
 
-// The request without its number, or the refusal that says what is wrong with it.
+// Each returns the request, with its number unset, or a refusal whose detail lists the problems.
 std::variant<instance::caller_request, answer> read_submit(const std::string& body);
 std::variant<instance::apply_request, answer> read_apply(const std::string& body);
 } // namespace yardhill::gateway
