--- a/Source/Core/Platform/PlatformClient.cpp
+++ b/Source/Core/Platform/PlatformClient.cpp
@@ -63,7 +63,7 @@
   return k_objects_path + web::uri::encode_data_string(key);
 }
 
-// An answer that cannot be read is no answer.
+// A reply that cannot be parsed is logged and treated like a missing reply.
 void log_malformed(const step_error& error)
 {
   log_warning({error.step, error.peer, {}, 0, error.detail});
--- a/Source/Core/Platform/PlatformClient.h
+++ b/Source/Core/Platform/PlatformClient.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The platform's table service and instance list over HTTP.
+// HTTP client of the platform's table service, object store and instance list.
 
 #include <functional>
 #include <memory>
@@ -20,18 +20,19 @@
 class platform_client
 {
 public:
-  // `timeout` bounds each call; past it a write counts as unclear. `caller` names this instance in
-  // the header k_caller_header.
+  // `timeout` bounds each call. A write that times out is reported as `unclear`. `caller` is the
+  // name of this instance, which each call sends in the header k_caller_header.
   platform_client(const std::string& base_url, const std::string& caller, duration timeout,
                   metrics& counts);
   ~platform_client();
 
-  // The callbacks come on a thread of the HTTP library, exactly once.
+  // Each callback is called exactly once, on a thread of the HTTP library.
   void read(const store_read& request, std::function<void(store_read_result)> done);
   void write(const store_transaction& request, std::function<void(store_write_result)> done);
   void put(const object_put& request, std::function<void(store_write_result)> done);
   void get(const object_get& request, std::function<void(store_read_result)> done);
-  // Not called back when the list could not be had.
+  // The callback is not called if the platform does not answer with status 200. If that answer
+  // cannot be parsed, the callback gets an empty list.
   void list_instances(std::function<void(std::vector<listed_instance>)> done);
 
 private:
--- a/Source/Core/Platform/TableProtocol.cpp
+++ b/Source/Core/Platform/TableProtocol.cpp
@@ -12,7 +12,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(store_read, prefix, after, limit, keys_only)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(endpoint, address, port)
 
-// A deleted row is a put without a value.
+// A put without a value deletes the row.
 static void to_json(json& out, const row_put& put)
 {
   out["key"] = put.key;
--- a/Source/Core/Platform/TableProtocol.h
+++ b/Source/Core/Platform/TableProtocol.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// The JSON of the platform's interface: table service and instance list.
+// Paths and JSON of the platform's interface: table service, objects and instance list.
 
 #include <string>
 #include <vector>
@@ -15,14 +15,16 @@
 {
 using namespace common;
 
-// Paths below the platform's base URL, all taking POST but the list.
+// Paths below the platform's base URL. The table paths take POST, the instance list takes GET.
 inline constexpr const char* k_read_path = "/table/read";
 inline constexpr const char* k_transaction_path = "/table/transaction";
-inline constexpr const char* k_objects_path = "/objects/"; // PUT and GET, the bytes as they are
+inline constexpr const char* k_objects_path =
+    "/objects/"; // followed by the encoded key; PUT and GET of unencoded bytes
 inline constexpr const char* k_instances_path = "/instances";
 inline constexpr const char* k_caller_header = "Yardhill-Caller";
 
-// An entry of the lagging instance list: an entry instance, or a worker that is leaving.
+// An entry of the instance list, which lags behind the actual state. The entry describes an entry
+// instance, or a worker that is leaving.
 struct listed_instance
 {
   std::string name;
--- a/Source/Core/Service/EventLoop.cpp
+++ b/Source/Core/Service/EventLoop.cpp
@@ -11,10 +11,11 @@
 {
 namespace
 {
-// Bounds how late a timer can be noticed when the core's estimate is off.
-constexpr std::chrono::milliseconds k_longest_sleep{500};
-// Timers closer together than this are served together.
-constexpr std::chrono::milliseconds k_shortest_sleep{1};
+// Upper bound of the delay with which a timer is noticed if the core's estimate of the next timer
+// is wrong.
+constexpr std::chrono::milliseconds k_max_sleep{500};
+// Timers that are due within this time of each other are handled in one step.
+constexpr std::chrono::milliseconds k_min_sleep{1};
 } // namespace
 
 event_loop::event_loop(const instance::instance_identity& identity, const core_options& options,
@@ -28,10 +29,10 @@
 event_loop::~event_loop()
 {
   {
-    const std::lock_guard hold(m_queue_lock);
-    m_ending = true;
+    const std::lock_guard lock(m_queue_lock);
+    m_stopping = true;
   }
-  m_wake.notify_one();
+  m_queue_changed.notify_one();
   if (m_thread.joinable())
     m_thread.join();
 }
@@ -46,45 +47,46 @@
   m_thread = std::thread([this] { run(); });
 }
 
-void event_loop::deliver(instance::event what)
+void event_loop::deliver(instance::event event)
 {
   {
-    const std::lock_guard hold(m_queue_lock);
-    m_queue.push_back(std::move(what));
+    const std::lock_guard lock(m_queue_lock);
+    m_queue.push_back(std::move(event));
   }
-  m_wake.notify_one();
+  m_queue_changed.notify_one();
 }
 
 void event_loop::run()
 {
   while (true)
   {
-    instance::event next = instance::timer_passed{};
+    instance::event next_event = instance::timer_passed{};
     {
-      std::unique_lock hold(m_queue_lock);
-      if (m_queue.empty() && !m_ending)
+      std::unique_lock lock(m_queue_lock);
+      if (m_queue.empty() && !m_stopping)
       {
         const time_point timer = look([](const auto& core) { return core.next_timer(); });
-        const auto longest = now() + k_longest_sleep;
-        const auto shortest = now() + k_shortest_sleep;
-        const time_point until = std::clamp(timer, shortest, longest);
-        m_wake.wait_for(hold, until - now(), [this] { return !m_queue.empty() || m_ending; });
+        const auto latest = now() + k_max_sleep;
+        const auto earliest = now() + k_min_sleep;
+        const time_point until = std::clamp(timer, earliest, latest);
+        m_queue_changed.wait_for(lock, until - now(),
+                                 [this] { return !m_queue.empty() || m_stopping; });
       }
-      if (m_ending)
+      if (m_stopping)
         return;
       if (!m_queue.empty())
       {
-        next = std::move(m_queue.front());
+        next_event = std::move(m_queue.front());
         m_queue.pop_front();
       }
     }
-    const time_point began = now();
+    const time_point start_time = now();
     std::vector<instance::command> commands;
     {
-      const std::lock_guard hold(m_core_lock);
-      commands = m_core.step(next, began);
+      const std::lock_guard lock(m_core_lock);
+      commands = m_core.step(next_event, start_time);
     }
-    m_metrics.record(timing::decision, now() - began);
+    m_metrics.record(timing::decision, now() - start_time);
     m_carry(std::move(commands));
   }
 }
--- a/Source/Core/Service/EventLoop.h
+++ b/Source/Core/Service/EventLoop.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Runs an instance's core on a thread of its own: one event after the other, timers in between.
+// Runs the core of an instance on a separate thread, which handles one event at a time. Due timers
+// are handled between events.
 
 #include <condition_variable>
 #include <deque>
@@ -24,23 +25,24 @@
 public:
   using carry_out = std::function<void(std::vector<instance::command>)>;
 
-  // `carry_out` is called on the loop's thread with what each step wants done.
+  // `carry` is called on the thread of the loop with the commands of each step.
   event_loop(const instance::instance_identity& identity, const core_options& options,
              metrics& counts, carry_out carry);
   ~event_loop();
 
   void start();
-  // From any thread.
-  void deliver(instance::event what);
-  // Calls `look` on the core between two events and returns what it returns.
+  // Queues an event. May be called from any thread.
+  void deliver(instance::event event);
+  // Calls `look` on the core between two events and returns the result of `look`. May be called
+  // from any thread, but not from within `look`.
   template<class look_function>
   auto look(const look_function& look)
   {
-    const std::lock_guard hold(m_core_lock);
+    const std::lock_guard lock(m_core_lock);
     return look(m_core);
   }
 
-  // Time as the core sees it, from the monotonic clock.
+  // The current time as the core uses it, from the monotonic clock.
   static time_point now();
 
 private:
@@ -51,9 +53,9 @@
   std::mutex m_core_lock;
   instance::instance_core m_core;
   std::mutex m_queue_lock;
-  std::condition_variable m_wake;
+  std::condition_variable m_queue_changed;
   std::deque<instance::event> m_queue;
-  bool m_ending = false;
+  bool m_stopping = false;
   std::thread m_thread;
 };
 } // namespace yardhill::service
--- a/Source/Core/Service/InstanceService.cpp
+++ b/Source/Core/Service/InstanceService.cpp
@@ -15,9 +15,9 @@
 namespace
 {
 constexpr std::chrono::seconds k_list_period{5};
-constexpr duration k_close_patience = std::chrono::seconds{1};
-// Instances of each other zone that this one keeps a connection to.
-constexpr std::size_t k_far_peers = 2;
+constexpr duration k_mesh_close_timeout = std::chrono::seconds{1};
+// Number of instances in each other zone to which this instance keeps a connection.
+constexpr std::size_t k_peers_per_other_zone = 2;
 
 instance::instance_identity make_identity(const instance_settings& settings,
                                           const std::string& incarnation)
@@ -47,7 +47,7 @@
 
 gateway::gateway_backend instance_service::make_backend()
 {
-  return {[this](instance::event what) { m_loop.deliver(std::move(what)); },
+  return {[this](instance::event event) { m_loop.deliver(std::move(event)); },
           [this]
           { return m_loop.look([](const auto& core) { return core.ready(event_loop::now()); }); },
           [this] { return status_page(); }, [this] { return configuration(); }};
@@ -70,15 +70,15 @@
 void instance_service::run()
 {
   m_loop.start();
-  std::vector<platform::listed_instance> known;
+  std::vector<platform::listed_instance> configured;
   for (const peer_setting& peer : m_settings.peers)
-    known.push_back({peer.name, peer.zone, peer.where, false});
-  dial_listed(known);
+    configured.push_back({peer.name, peer.zone, peer.where, false});
+  dial_listed(configured);
   m_gateway.open();
   log_info({"serve", to_text(m_settings.http), {}, 0, "instance " + m_identity.id.value});
   poll_instances();
-  // What was answered goes out before the connections close.
-  m_mesh.close(k_close_patience);
+  // Answers that are queued for peers are sent before the connections close.
+  m_mesh.close(k_mesh_close_timeout);
   m_gateway.close();
   log_info({"stop", {}, {}, 0, "planned stop complete"});
 }
@@ -90,19 +90,20 @@
 
 void instance_service::poll_instances()
 {
-  std::unique_lock hold(m_stop_lock);
+  std::unique_lock lock(m_stop_lock);
   while (!m_stopped)
   {
     m_platform.list_instances([this](const std::vector<platform::listed_instance>& listed)
                               { dial_listed(listed); });
-    m_stopped_changed.wait_for(hold, k_list_period, [this] { return m_stopped; });
+    m_stopped_changed.wait_for(lock, k_list_period, [this] { return m_stopped; });
   }
 }
 
-// The list is a hint: it lags. Every instance of the own zone is dialled, and a few of each other.
+// The list lags behind the actual state and therefore is only a hint. Dials every listed instance
+// of the own zone and a few of each other zone.
 void instance_service::dial_listed(const std::vector<platform::listed_instance>& listed)
 {
-  std::map<zone_id, std::map<std::uint64_t, endpoint>> far;
+  std::map<zone_id, std::map<std::uint64_t, endpoint>> other_zones;
   for (const platform::listed_instance& entry : listed)
   {
     if (entry.peer.port == 0 || entry.leaving)
@@ -110,14 +111,15 @@
     if (entry.zone == m_settings.zone)
       m_mesh.dial(entry.peer);
     else
-      far[entry.zone].emplace(stable_hash(m_settings.name + to_text(entry.peer)), entry.peer);
+      other_zones[entry.zone].emplace(stable_hash(m_settings.name + to_text(entry.peer)),
+                                      entry.peer);
   }
-  for (const auto& [zone, candidates] : far)
+  for (const auto& [zone, candidates] : other_zones)
   {
     std::size_t dialled = 0;
     for (const auto& [score, where] : candidates)
     {
-      if (dialled++ < k_far_peers)
+      if (dialled++ < k_peers_per_other_zone)
         m_mesh.dial(where);
     }
   }
@@ -126,49 +128,49 @@
 void instance_service::carry_out(std::vector<instance::command> commands)
 {
   for (const instance::command& each : commands)
-    std::visit([this](const auto& what) { carry_out_one(what); }, each);
+    std::visit([this](const auto& command) { carry_out_one(command); }, each);
 }
 
-void instance_service::carry_out_one(const instance::answer_caller& what)
+void instance_service::carry_out_one(const instance::answer_caller& command)
 {
-  m_gateway.reply_to_caller(what);
+  m_gateway.reply_to_caller(command);
 }
 
-void instance_service::carry_out_one(const instance::answer_apply& what)
+void instance_service::carry_out_one(const instance::answer_apply& command)
 {
-  m_gateway.reply_to_operator(what);
+  m_gateway.reply_to_operator(command);
 }
 
-void instance_service::carry_out_one(const instance::send_to_peer& what)
+void instance_service::carry_out_one(const instance::send_to_peer& command)
 {
-  m_mesh.send(what.peer, what.message);
+  m_mesh.send(command.peer, command.message);
 }
 
-void instance_service::carry_out_one(const instance::send_claim& what)
+void instance_service::carry_out_one(const instance::send_claim& command)
 {
   const time_point sent_at = event_loop::now();
-  m_workers.claim(what.address, what.request,
-                  [this, what, sent_at](std::optional<claim_answer> answer)
+  m_workers.claim(command.address, command.request,
+                  [this, command, sent_at](std::optional<claim_answer> answer)
                   {
-                    m_loop.deliver(instance::claim_returned{what.worker, what.request,
+                    m_loop.deliver(instance::claim_returned{command.worker, command.request,
                                                             std::move(answer), sent_at});
                   });
 }
 
-void instance_service::carry_out_one(const instance::send_start& what)
+void instance_service::carry_out_one(const instance::send_start& command)
 {
   instance::start_returned returned;
-  returned.worker = what.worker;
-  for (const start_order& order : what.request.orders)
+  returned.worker = command.worker;
+  for (const start_order& order : command.request.orders)
     returned.attempts.push_back(order.id);
-  // This process may have been paused since the core decided.
-  if (event_loop::now() > what.not_after)
+  // The process may have been paused since the core decided, so that the start request is too late.
+  if (event_loop::now() > command.not_after)
   {
     returned.result = instance::send_result::unsent;
     m_loop.deliver(std::move(returned));
     return;
   }
-  m_workers.start(what.address, what.request,
+  m_workers.start(command.address, command.request,
                   [this, returned](target::start_end end, start_answer answer) mutable
                   {
                     constexpr instance::send_result results[] = {instance::send_result::answered,
@@ -180,49 +182,49 @@
                   });
 }
 
-void instance_service::carry_out_one(const instance::send_stop& what)
+void instance_service::carry_out_one(const instance::send_stop& command)
 {
-  m_workers.stop(what.address, what.request);
+  m_workers.stop(command.address, command.request);
 }
 
-void instance_service::carry_out_one(const instance::call_store& what)
+void instance_service::carry_out_one(const instance::call_store& command)
 {
-  const std::uint64_t number = what.call;
-  const auto was_read = [this, number](store_read_result result) {
+  const std::uint64_t number = command.call;
+  const auto read_done = [this, number](store_read_result result) {
     m_loop.deliver(instance::store_returned{number, std::move(result)});
   };
-  if (const auto* read = std::get_if<store_read>(&what.request))
+  if (const auto* read = std::get_if<store_read>(&command.request))
   {
-    m_platform.read(*read, was_read);
+    m_platform.read(*read, read_done);
     return;
   }
-  if (const auto* get = std::get_if<object_get>(&what.request))
+  if (const auto* get = std::get_if<object_get>(&command.request))
   {
-    m_platform.get(*get, was_read);
+    m_platform.get(*get, read_done);
     return;
   }
-  const auto written = [this, number](const store_write_result& result) {
+  const auto write_done = [this, number](const store_write_result& result) {
     m_loop.deliver(instance::store_returned{number, result});
   };
-  if (const auto* put = std::get_if<object_put>(&what.request))
-    m_platform.put(*put, written);
+  if (const auto* put = std::get_if<object_put>(&command.request))
+    m_platform.put(*put, write_done);
   else
-    m_platform.write(std::get<store_transaction>(what.request), written);
+    m_platform.write(std::get<store_transaction>(command.request), write_done);
 }
 
-void instance_service::carry_out_one(const instance::log_event& what)
+void instance_service::carry_out_one(const instance::log_event& command)
 {
-  const log_line line{what.step, what.peer, what.task, what.term, what.detail};
-  if (what.level == instance::log_level::warning)
+  const log_line line{command.step, command.peer, command.task, command.term, command.detail};
+  if (command.level == instance::log_level::warning)
     log_warning(line);
   else
     log_info(line);
 }
 
-void instance_service::carry_out_one(const instance::stop_complete& /*what*/)
+void instance_service::carry_out_one(const instance::stop_complete& /*command*/)
 {
   {
-    const std::lock_guard hold(m_stop_lock);
+    const std::lock_guard lock(m_stop_lock);
     m_stopped = true;
   }
   m_stopped_changed.notify_one();
--- a/Source/Core/Service/InstanceService.h
+++ b/Source/Core/Service/InstanceService.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// An entry instance as a process: the core on its loop, and the shells that carry out its commands.
+// An entry instance as a process: runs the core on its event loop and executes the core's commands
+// through the gateway, the peer mesh, the platform client and the worker client.
 
 #include <atomic>
 #include <condition_variable>
@@ -23,25 +24,26 @@
 class instance_service
 {
 public:
-  // `incarnation` makes this run's instance id differ from those of earlier runs of the same name.
+  // `incarnation` is part of the instance id, so that the id differs from those of earlier
+  // incarnations of an instance of the same name.
   instance_service(const instance_settings& settings, const std::string& incarnation);
 
-  // Serves until a planned stop is complete.
+  // Serves requests until a planned stop is complete. Blocks until then.
   void run();
-  // Begins a planned stop; from any thread.
+  // Begins a planned stop. May be called from any thread.
   void stop();
 
 private:
   void carry_out(std::vector<instance::command> commands);
-  void carry_out_one(const instance::answer_caller& what);
-  void carry_out_one(const instance::answer_apply& what);
-  void carry_out_one(const instance::send_to_peer& what);
-  void carry_out_one(const instance::send_claim& what);
-  void carry_out_one(const instance::send_start& what);
-  void carry_out_one(const instance::send_stop& what);
-  void carry_out_one(const instance::call_store& what);
-  void carry_out_one(const instance::log_event& what);
-  void carry_out_one(const instance::stop_complete& what);
+  void carry_out_one(const instance::answer_caller& command);
+  void carry_out_one(const instance::answer_apply& command);
+  void carry_out_one(const instance::send_to_peer& command);
+  void carry_out_one(const instance::send_claim& command);
+  void carry_out_one(const instance::send_start& command);
+  void carry_out_one(const instance::send_stop& command);
+  void carry_out_one(const instance::call_store& command);
+  void carry_out_one(const instance::log_event& command);
+  void carry_out_one(const instance::stop_complete& command);
 
   gateway::gateway_backend make_backend();
   peer::mesh_events make_mesh_events();
--- a/Source/Core/Target/WorkerClient.cpp
+++ b/Source/Core/Target/WorkerClient.cpp
@@ -52,7 +52,7 @@
 std::shared_ptr<http_worker_protocol::connection>
 http_worker_protocol::connection_to(const std::string& address)
 {
-  const std::lock_guard hold(m_lock);
+  const std::lock_guard lock(m_lock);
   std::shared_ptr<connection>& known = m_connections[address];
   if (!known)
     known = std::make_shared<connection>(address, m_timeout);
@@ -83,7 +83,7 @@
                   [](const step_error& error)
                   {
                     log_warning({error.step, error.peer, {}, 0, error.detail});
-                    return std::optional<claim_answer>{}; // as good as no answer
+                    return std::optional<claim_answer>{}; // treated like a missing answer
                   }));
             });
 }
@@ -118,7 +118,8 @@
 {
   m_metrics.add(counter::worker_calls);
   const auto connected = connection_to(address);
-  // An unanswered stop is asked for again when the next claim still names the attempt.
+  // The answer is ignored: if the stop request is lost, it is sent again when the next claim still
+  // names the attempt.
   call_http(connected->client, methods::POST, k_stop_path, to_json_text(request),
             [connected](const call_result& /*result*/) {});
 }
--- a/Source/Core/Target/WorkerClient.h
+++ b/Source/Core/Target/WorkerClient.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// The workers' protocol over HTTP, behind an interface so that another protocol can take its place.
+// The protocol between an instance and its workers: an interface, so that the protocol can be
+// replaced, and its implementation over HTTP.
 
 #include <functional>
 #include <map>
@@ -23,18 +24,20 @@
 enum class start_end
 {
   answered,
-  unsent, // the worker knows nothing of it
-  unclear
+  unsent, // the request was not sent, so the worker has not seen it
+  unclear // the worker may have received the request
 };
 
-// A protocol without claims would leave only the owner's own lease and waiting a worker's out:
-// the strategy that implements it must say so in docs/DESIGN.md.
+// A protocol without claims would leave only two safeguards: the owner's own lease, and waiting
+// until a worker's lease has expired. A strategy that implements such a protocol must state this in
+// docs/DESIGN.md.
 class worker_protocol
 {
 public:
   virtual ~worker_protocol() = default;
 
-  // Each callback comes exactly once, on any thread. No answer: it did not come in time.
+  // Each callback is called exactly once, on any thread. `claim` passes nullopt if no valid answer
+  // arrived within the timeout.
   virtual void claim(const std::string& address, const claim_request& request,
                      std::function<void(std::optional<claim_answer>)> done) = 0;
   virtual void start(const std::string& address, const start_request& request,
@@ -42,7 +45,7 @@
   virtual void stop(const std::string& address, const stop_request& request) = 0;
 };
 
-// Paths below a worker's base URL, all taking POST.
+// Paths below a worker's base URL. All take POST.
 inline constexpr const char* k_claim_path = "/claim";
 inline constexpr const char* k_start_path = "/start";
 inline constexpr const char* k_stop_path = "/stop";
