--- a/Source/Core/Load/LoadPlan.cpp
+++ b/Source/Core/Load/LoadPlan.cpp
@@ -25,7 +25,7 @@
   std::uniform_real_distribution<double> luck(0.0, 1.0);
   jobs::job_spec spec;
   spec.payload = kind.name;
-  for (const yard_step& step : kind.steps)
+  for (const load_profile_step& step : kind.steps)
   {
     if (step.share < 1.0 && luck(random) >= step.share)
       break;
@@ -35,7 +35,7 @@
 }
 } // namespace
 
-std::vector<planned_job> plan_load(const yard& of, const load_options& options)
+std::vector<planned_job> plan_load(const load_profile& of, const load_options& options)
 {
   std::mt19937_64 random(options.seed);
   std::vector<planned_job> plan;
--- a/Source/Core/Load/LoadPlan.h
+++ b/Source/Core/Load/LoadPlan.h
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "Load/YardFile.h"
+#include "Load/LoadProfile.h"
 
 namespace yardhill::load
 {
 struct planned_job
 {
   std::string id;
-  std::size_t kind = 0;  // number in the yard
+  std::size_t kind = 0;  // number in the load_profile
   common::duration at{}; // from the begin of the load
   jobs::job_spec spec;
 };
@@ -24,10 +24,10 @@
 struct load_options
 {
   common::duration length = std::chrono::seconds{10};
-  double rate_share = 1.0; // of the yard's jobs a second
+  double rate_share = 1.0; // of the load_profile's jobs a second
   std::uint64_t seed = 1;
 };
 
 // In the order of their times; the jobs of a kind arrive independently of each other.
-std::vector<planned_job> plan_load(const yard& of, const load_options& options);
+std::vector<planned_job> plan_load(const load_profile& of, const load_options& options);
 } // namespace yardhill::load
--- a/Source/Core/Load/YardFile.cpp
+++ b/Source/Core/Load/LoadProfile.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Load/YardFile.h"
+#include "Load/LoadProfile.h"
 
 #include <algorithm>
 
@@ -24,9 +24,9 @@
   return std::chrono::duration_cast<milliseconds>(in.time_span(name, common::duration{0}, usual));
 }
 
-yard_step step_from(field_reader in)
+load_profile_step step_from(field_reader in)
 {
-  yard_step step;
+  load_profile_step step;
   jobs::step_spec& spec = step.spec;
   spec.count = static_cast<std::uint32_t>(in.integer("count", {1, jobs::k_most_tasks}));
   spec.demand.cpu_millis = in.integer("cpu_millis", {1, k_most_millis});
@@ -73,18 +73,18 @@
 bool job_kind::lasts() const
 {
   return std::any_of(steps.begin(), steps.end(),
-                     [](const yard_step& step) { return step.spec.long_running; });
+                     [](const load_profile_step& step) { return step.spec.long_running; });
 }
 
-std::optional<yard> parse_yard(const std::string& text, const std::string& file,
-                               common::problem_list& problems)
+std::optional<load_profile> parse_load_profile(const std::string& text, const std::string& file,
+                                               common::problem_list& problems)
 {
   const std::size_t before = problems.size();
   const auto parsed = common::parse_with_comments(text, file, problems);
   if (!parsed)
     return std::nullopt;
   field_reader in(*parsed, file, "", problems);
-  yard out;
+  load_profile out;
   out.service = in.text("service");
   out.zones = in.texts("zones");
   if (auto workers = in.object("workers", true))
--- a/Source/Core/Load/YardFile.h
+++ b/Source/Core/Load/LoadProfile.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-// A yard's jobs and workers as the load tool and the demo play them: JSON with comments, checked
-// whole. docs/SETTINGS.md explains every field.
+// A load_profile's jobs and workers as the load tool and the demo play them: JSON with comments,
+// checked whole. docs/SETTINGS.md explains every field.
 
 #include <optional>
 #include <string>
@@ -17,7 +17,7 @@
 namespace yardhill::load
 {
 // A step that only some jobs of its kind have.
-struct yard_step
+struct load_profile_step
 {
   jobs::step_spec spec;
   double share = 1.0; // of the jobs; only the last steps may be missing
@@ -29,14 +29,14 @@
   adapter::queue_address queue;
   jobs::queue_policy policy;
   double per_second = 0.0;
-  std::vector<yard_step> steps;
+  std::vector<load_profile_step> steps;
   // Objective: from the hand-in to the end, beyond the longest chain of estimated work.
   common::duration deadline{};
 
   bool lasts() const;
 };
 
-struct yard
+struct load_profile
 {
   std::string service;
   std::vector<std::string> zones;
@@ -46,6 +46,6 @@
 };
 
 // Notes every mistake; none if there is any.
-std::optional<yard> parse_yard(const std::string& text, const std::string& file,
-                               common::problem_list& problems);
+std::optional<load_profile> parse_load_profile(const std::string& text, const std::string& file,
+                                               common::problem_list& problems);
 } // namespace yardhill::load
--- a/Source/Core/Load/LoadReport.cpp
+++ b/Source/Core/Load/LoadReport.cpp
@@ -63,7 +63,7 @@
 }
 } // namespace
 
-std::vector<kind_report> report_by_kind(const yard& of, const std::vector<played_job>& jobs)
+std::vector<kind_report> report_by_kind(const load_profile& of, const std::vector<played_job>& jobs)
 {
   std::vector<kind_report> reports(of.kinds.size());
   for (std::size_t i = 0; i < reports.size(); ++i)
@@ -131,7 +131,7 @@
   return out.dump();
 }
 
-std::string to_line(const yard& of, const planned_job& job)
+std::string to_line(const load_profile& of, const planned_job& job)
 {
   return json{{"id", job.id},
               {"kind", of.kinds[job.kind].name},
@@ -140,7 +140,7 @@
       .dump();
 }
 
-std::string to_line(const yard& of, const played_job& job)
+std::string to_line(const load_profile& of, const played_job& job)
 {
   return json{{"id", job.planned->id},
               {"kind", of.kinds[job.planned->kind].name},
--- a/Source/Core/Load/LoadReport.h
+++ b/Source/Core/Load/LoadReport.h
@@ -29,7 +29,8 @@
   std::vector<common::duration> to_end;   // sorted; of jobs that end by themselves
 };
 
-std::vector<kind_report> report_by_kind(const yard& of, const std::vector<played_job>& jobs);
+std::vector<kind_report> report_by_kind(const load_profile& of,
+                                        const std::vector<played_job>& jobs);
 // Whether every job was accepted and ended as it should.
 bool all_served(const std::vector<kind_report>& reports);
 // The value that `quantile` (0 to 1) of them do not exceed; 0 of none.
@@ -38,7 +39,7 @@
 std::string to_table(const std::vector<kind_report>& reports);
 std::string to_json(const std::vector<kind_report>& reports);
 // One JSON line for a job, times in milliseconds; Tools/plot-load draws them.
-std::string to_line(const yard& of, const played_job& job);
+std::string to_line(const load_profile& of, const played_job& job);
 // A job that is yet to be handed in, with the body that will be sent.
-std::string to_line(const yard& of, const planned_job& job);
+std::string to_line(const load_profile& of, const planned_job& job);
 } // namespace yardhill::load
--- a/Source/Core/Load/LoadRunner.cpp
+++ b/Source/Core/Load/LoadRunner.cpp
@@ -7,8 +7,9 @@
 
 namespace yardhill::load
 {
-load_runner::load_runner(common::timekeeper& time, adapter::caller_client& caller, const yard& of,
-                         std::vector<common::endpoint> instances, const caller_options& options)
+load_runner::load_runner(common::timekeeper& time, adapter::caller_client& caller,
+                         const load_profile& of, std::vector<common::endpoint> instances,
+                         const caller_options& options)
     : m_time(time),
       m_caller(caller),
       m_yard(of),
--- a/Source/Core/Load/LoadRunner.h
+++ b/Source/Core/Load/LoadRunner.h
@@ -50,7 +50,7 @@
 class load_runner
 {
 public:
-  load_runner(common::timekeeper& time, adapter::caller_client& caller, const yard& of,
+  load_runner(common::timekeeper& time, adapter::caller_client& caller, const load_profile& of,
               std::vector<common::endpoint> instances, const caller_options& options);
 
   // `done` is called once every job is over, or has been left.
@@ -73,7 +73,7 @@
 
   common::timekeeper& m_time;
   adapter::caller_client& m_caller;
-  const yard& m_yard;
+  const load_profile& m_yard;
   std::vector<common::endpoint> m_instances;
   caller_options m_options;
   std::vector<played_job> m_jobs;
--- a/Source/UnitTests/Load/YardFileTest.cpp
+++ b/Source/UnitTests/Load/LoadProfileTest.cpp
@@ -16,40 +16,40 @@
 
 namespace
 {
-load::yard sample_yard(const std::string& name)
+load::load_profile sample_yard(const std::string& name)
 {
   std::ifstream file(std::string(YARDHILL_ROOT) + "/Data/platform/" + name);
   std::ostringstream text;
   text << file.rdbuf();
   common::problem_list problems;
-  auto yard = load::parse_yard(text.str(), name, problems);
-  BOOST_TEST_REQUIRE(yard.has_value());
-  return *yard;
+  auto load_profile = load::parse_load_profile(text.str(), name, problems);
+  BOOST_TEST_REQUIRE(load_profile.has_value());
+  return *load_profile;
 }
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(YardFileTest)
+BOOST_AUTO_TEST_SUITE(LoadProfileTest)
 
 BOOST_AUTO_TEST_CASE(the_sample_yards_are_read)
 {
-  const load::yard yard = sample_yard("periyar.jsonc");
-  BOOST_TEST(yard.workers == 48U);
-  BOOST_TEST(yard.worker_capacity.memory_mib == 32768);
-  BOOST_TEST_REQUIRE(yard.kinds.size() == 3U);
-  BOOST_TEST(yard.kinds[0].steps[1].spec.depends_on.front() == 0U);
-  BOOST_TEST(yard.kinds[2].lasts());
+  const load::load_profile load_profile = sample_yard("periyar.jsonc");
+  BOOST_TEST(load_profile.workers == 48U);
+  BOOST_TEST(load_profile.worker_capacity.memory_mib == 32768);
+  BOOST_TEST_REQUIRE(load_profile.kinds.size() == 3U);
+  BOOST_TEST(load_profile.kinds[0].steps[1].spec.depends_on.front() == 0U);
+  BOOST_TEST(load_profile.kinds[2].lasts());
   BOOST_TEST(sample_yard("thies.jsonc").kinds.size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(each_mistake_names_its_field)
 {
   common::problem_list problems;
-  const auto yard = load::parse_yard(
+  const auto load_profile = load::parse_load_profile(
       R"({"service":"s","zones":["z"],"workers":{"count":0,"cpu_millis":1,"memory":"1GiB"},)"
       R"("kinds":[{"name":"k","host":"h","path_prefix":"/k/","priority":0,"max_attempts":1,)"
       R"("latency_target":"250","deadline":"3s","per_second":1,"steps":[],"colour":"red"}]})",
       "file", problems);
-  BOOST_TEST(!yard.has_value());
+  BOOST_TEST(!load_profile.has_value());
   std::set<std::string> fields;
   for (const auto& each : problems)
     fields.insert(each.field);
@@ -61,9 +61,9 @@
 
 BOOST_AUTO_TEST_CASE(a_plan_follows_from_its_seed_and_keeps_the_rates)
 {
-  const load::yard yard = sample_yard("periyar.jsonc");
-  const auto plan = load::plan_load(yard, {seconds{100}, 1.0, 7});
-  const auto again = load::plan_load(yard, {seconds{100}, 1.0, 7});
+  const load::load_profile load_profile = sample_yard("periyar.jsonc");
+  const auto plan = load::plan_load(load_profile, {seconds{100}, 1.0, 7});
+  const auto again = load::plan_load(load_profile, {seconds{100}, 1.0, 7});
   BOOST_TEST_REQUIRE(plan.size() == again.size());
   BOOST_TEST(plan.back().id == again.back().id);
   BOOST_TEST(std::is_sorted(plan.begin(), plan.end(),
--- a/Source/UnitTests/Load/LoadRunnerTest.cpp
+++ b/Source/UnitTests/Load/LoadRunnerTest.cpp
@@ -51,7 +51,7 @@
     kind.name = "kind";
     kind.queue = {"jobs.example", "/k/"};
     kind.deadline = seconds{3};
-    yard.kinds.push_back(kind);
+    load_profile.kinds.push_back(kind);
     plan.resize(1);
     plan.front().id = "0123456789abcdef";
     plan.front().spec.steps.resize(1);
@@ -62,15 +62,15 @@
     runner.play(plan, [this] { done = true; });
     time.run_until(time.now() + seconds{200});
     BOOST_TEST_REQUIRE(done);
-    return load::report_by_kind(yard, runner.jobs()).front();
+    return load::report_by_kind(load_profile, runner.jobs()).front();
   }
 
   model::virtual_time time;
   scripted_instances instances{time};
   adapter::caller_client caller{instances};
-  load::yard yard;
+  load::load_profile load_profile;
   std::vector<load::planned_job> plan;
-  load::load_runner runner{time, caller, yard, {{"127.0.0.1", 1}, {"127.0.0.1", 2}}, {}};
+  load::load_runner runner{time, caller, load_profile, {{"127.0.0.1", 1}, {"127.0.0.1", 2}}, {}};
   bool done = false;
 };
 } // namespace
--- a/Source/Yardhill/Check.cpp
+++ b/Source/Yardhill/Check.cpp
@@ -13,7 +13,7 @@
 #include "Common/ConfigParser.h"
 #include "Common/FieldReader.h"
 #include "Common/InstanceSettings.h"
-#include "Load/YardFile.h"
+#include "Load/LoadProfile.h"
 #include "Node/NodeSettings.h"
 #include "Yardhill/Files.h"
 #include "Yardhill/Subcommands.h"
@@ -42,7 +42,7 @@
 
 void check_yard(const common::named_text& file, common::problem_list& problems)
 {
-  load::parse_yard(file.text, file.file, problems);
+  load::parse_load_profile(file.text, file.file, problems);
 }
 
 void check_platform_settings(const common::named_text& file, common::problem_list& problems)
--- a/Source/Yardhill/Job.cpp
+++ b/Source/Yardhill/Job.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill job: a caller of instances on the platform. Single jobs of a yard's kinds, and loads of
-// many.
+// yardhill job: a caller of instances on the platform. Single jobs of a load_profile's kinds, and
+// loads of many.
 
 #include <cstdio>
 #include <fstream>
@@ -72,21 +72,22 @@
   return addresses;
 }
 
-load::yard yard_in(const parsed_arguments& parsed)
+load::load_profile yard_in(const parsed_arguments& parsed)
 {
   const common::named_text file = read_file(parsed.at("--yard").asString());
   common::problem_list problems;
-  auto yard = load::parse_yard(file.text, file.file, problems);
+  auto load_profile = load::parse_load_profile(file.text, file.file, problems);
   print_problems(problems);
-  if (!yard)
+  if (!load_profile)
     throw std::runtime_error(file.file + " is not a valid yard");
-  return *std::move(yard);
+  return *std::move(load_profile);
 }
 
-const load::job_kind& kind_in(const parsed_arguments& parsed, const load::yard& yard)
+const load::job_kind& kind_in(const parsed_arguments& parsed,
+                              const load::load_profile& load_profile)
 {
   const std::string name = parsed.at("--kind").asString();
-  for (const load::job_kind& each : yard.kinds)
+  for (const load::job_kind& each : load_profile.kinds)
   {
     if (each.name == name)
       return each;
@@ -104,14 +105,15 @@
   return text;
 }
 
-std::vector<load::planned_job> plan_in(const parsed_arguments& parsed, const load::yard& yard)
+std::vector<load::planned_job> plan_in(const parsed_arguments& parsed,
+                                       const load::load_profile& load_profile)
 {
   load::load_options options;
   options.length = std::chrono::duration_cast<common::duration>(
       std::chrono::duration<double>(std::stod(parsed.at("--seconds").asString())));
   options.rate_share = std::stod(parsed.at("--rate").asString());
   options.seed = std::stoull(parsed.at("--seed").asString());
-  return load::plan_load(yard, options);
+  return load::plan_load(load_profile, options);
 }
 
 jobs::job_spec spec_of(const parsed_arguments& parsed, const load::job_kind& kind)
@@ -119,7 +121,7 @@
   jobs::job_spec spec;
   const auto& payload = parsed.at("--payload");
   spec.payload = payload ? payload.asString() : kind.name;
-  for (const load::yard_step& step : kind.steps)
+  for (const load::load_profile_step& step : kind.steps)
     spec.steps.push_back(step.spec);
   return spec;
 }
@@ -141,8 +143,8 @@
 
 int call_once(const parsed_arguments& parsed)
 {
-  const load::yard yard = yard_in(parsed);
-  const load::job_kind& kind = kind_in(parsed, yard);
+  const load::load_profile load_profile = yard_in(parsed);
+  const load::job_kind& kind = kind_in(parsed, load_profile);
   const common::endpoint to = addresses_in(parsed).front();
   const std::string id = parsed.at("pending").asBool() ? std::string() : id_in(parsed);
   boost::asio::io_context io(1);
@@ -164,16 +166,16 @@
 
 int play_load(const parsed_arguments& parsed)
 {
-  const load::yard yard = yard_in(parsed);
-  const std::vector<load::planned_job> plan = plan_in(parsed, yard);
+  const load::load_profile load_profile = yard_in(parsed);
+  const std::vector<load::planned_job> plan = plan_in(parsed, load_profile);
   boost::asio::io_context io(1);
   node::asio_timekeeper time(io);
   http::http_client http(io, k_connections);
   adapter::caller_client caller(http);
-  load::load_runner runner(time, caller, yard, addresses_in(parsed), {});
+  load::load_runner runner(time, caller, load_profile, addresses_in(parsed), {});
   runner.play(plan, [&io] { io.stop(); });
   io.run();
-  const auto reports = load::report_by_kind(yard, runner.jobs());
+  const auto reports = load::report_by_kind(load_profile, runner.jobs());
   std::fputs(parsed.at("--json").asBool() ? (load::to_json(reports) + "\n").c_str()
                                           : load::to_table(reports).c_str(),
              stdout);
@@ -181,7 +183,7 @@
   {
     std::ofstream file(each.asString());
     for (const load::played_job& job : runner.jobs())
-      file << load::to_line(yard, job) << "\n";
+      file << load::to_line(load_profile, job) << "\n";
     if (!file.flush())
       throw std::runtime_error("cannot write " + each.asString());
   }
@@ -190,9 +192,9 @@
 
 int print_plan(const parsed_arguments& parsed)
 {
-  const load::yard yard = yard_in(parsed);
-  for (const load::planned_job& job : plan_in(parsed, yard))
-    std::printf("%s\n", load::to_line(yard, job).c_str());
+  const load::load_profile load_profile = yard_in(parsed);
+  for (const load::planned_job& job : plan_in(parsed, load_profile))
+    std::printf("%s\n", load::to_line(load_profile, job).c_str());
   return k_done;
 }
 } // namespace
