--- a/Source/Core/Load/LoadPlan.h
+++ b/Source/Core/Load/LoadPlan.h
@@ -3,7 +3,8 @@
 
 #pragma once
 
-// Which jobs a load consists of, and when each is handed in: drawn from a seed, the same each time.
+// Plans the jobs of a load and the time at which each is submitted. The plan is drawn at random
+// from a seed; the same seed gives the same plan.
 
 #include <cstdint>
 #include <string>
@@ -16,18 +17,18 @@
 struct planned_job
 {
   std::string id;
-  std::size_t kind = 0;  // number in the load_profile
-  common::duration at{}; // from the begin of the load
+  std::size_t kind = 0;  // index into load_profile::kinds
+  common::duration at{}; // from the start of the load
   jobs::job_spec spec;
 };
 
 struct load_options
 {
   common::duration length = std::chrono::seconds{10};
-  double rate_share = 1.0; // of the load_profile's jobs a second
+  double rate_share = 1.0; // factor applied to the rates of the load profile
   std::uint64_t seed = 1;
 };
 
-// In the order of their times; the jobs of a kind arrive independently of each other.
-std::vector<planned_job> plan_load(const load_profile& of, const load_options& options);
+// Returns the jobs sorted by time. The jobs of a kind arrive independently of each other.
+std::vector<planned_job> plan_load(const load_profile& profile, const load_options& options);
 } // namespace yardhill::load
--- a/Source/Core/Load/LoadProfile.cpp
+++ b/Source/Core/Load/LoadProfile.cpp
@@ -14,14 +14,15 @@
 using common::field_reader;
 using std::chrono::milliseconds;
 
-constexpr std::int64_t k_most_workers = 100000;
-constexpr std::int64_t k_most_millis = 1000000; // thousandths of a core
-constexpr double k_most_per_second = 10000.0;
+constexpr std::int64_t k_max_workers = 100000;
+constexpr std::int64_t k_max_cpu_millis = 1000000; // thousandths of a core
+constexpr double k_max_jobs_per_second = 10000.0;
 
-milliseconds span_in(field_reader& in, const char* name,
-                     std::optional<common::duration> usual = std::nullopt)
+milliseconds duration_in(field_reader& in, const char* name,
+                         std::optional<common::duration> default_value = std::nullopt)
 {
-  return std::chrono::duration_cast<milliseconds>(in.time_span(name, common::duration{0}, usual));
+  return std::chrono::duration_cast<milliseconds>(
+      in.time_span(name, common::duration{0}, default_value));
 }
 
 load_profile_step step_from(field_reader in)
@@ -29,9 +30,9 @@
   load_profile_step step;
   jobs::step_spec& spec = step.spec;
   spec.count = static_cast<std::uint32_t>(in.integer("count", {1, jobs::k_most_tasks}));
-  spec.demand.cpu_millis = in.integer("cpu_millis", {1, k_most_millis});
+  spec.demand.cpu_millis = in.integer("cpu_millis", {1, k_max_cpu_millis});
   spec.demand.memory_mib = in.memory_mib("memory");
-  spec.estimate = span_in(in, "estimate");
+  spec.estimate = duration_in(in, "estimate");
   spec.checkpointing = in.boolean("checkpointing", false);
   spec.speculative = in.boolean("speculative", false);
   spec.long_running = in.boolean("long_running", false);
@@ -55,12 +56,12 @@
   kind.policy.service = service;
   kind.policy.priority = static_cast<std::uint32_t>(in.integer("priority", {0, 9}));
   kind.policy.max_attempts = static_cast<std::uint32_t>(in.integer("max_attempts", {1, 100}));
-  kind.policy.latency_target = span_in(in, "latency_target");
-  kind.per_second = in.number("per_second", {0.0, k_most_per_second});
-  kind.deadline = span_in(in, "deadline");
+  kind.policy.latency_target = duration_in(in, "latency_target");
+  kind.per_second = in.number("per_second", {0.0, k_max_jobs_per_second});
+  kind.deadline = duration_in(in, "deadline");
   for (field_reader& step : in.objects("steps"))
     kind.steps.push_back(step_from(step));
-  // Each step follows the one before it.
+  // Each step depends on the previous step.
   for (std::uint32_t i = 1; i < kind.steps.size(); ++i)
     kind.steps[i].spec.depends_on = {i - 1};
   if (kind.steps.empty())
@@ -70,7 +71,7 @@
 }
 } // namespace
 
-bool job_kind::lasts() const
+bool job_kind::is_long_running() const
 {
   return std::any_of(steps.begin(), steps.end(),
                      [](const load_profile_step& step) { return step.spec.long_running; });
@@ -89,8 +90,8 @@
   out.zones = in.texts("zones");
   if (auto workers = in.object("workers", true))
   {
-    out.workers = static_cast<std::uint32_t>(workers->integer("count", {1, k_most_workers}));
-    out.worker_capacity.cpu_millis = workers->integer("cpu_millis", {1, k_most_millis});
+    out.workers = static_cast<std::uint32_t>(workers->integer("count", {1, k_max_workers}));
+    out.worker_capacity.cpu_millis = workers->integer("cpu_millis", {1, k_max_cpu_millis});
     out.worker_capacity.memory_mib = workers->memory_mib("memory");
     workers->finish();
   }
--- a/Source/Core/Load/LoadProfile.h
+++ b/Source/Core/Load/LoadProfile.h
@@ -3,8 +3,9 @@
 
 #pragma once
 
-// A load_profile's jobs and workers as the load tool and the demo play them: JSON with comments,
-// checked whole. docs/SETTINGS.md explains every field.
+// The load profile of a service for the load tool and the demo: its kinds of jobs and its workers,
+// read from a "yard" file (JSON with comments). The whole file is checked. docs/SETTINGS.md
+// explains every field.
 
 #include <optional>
 #include <string>
@@ -20,7 +21,9 @@
 struct load_profile_step
 {
   jobs::step_spec spec;
-  double share = 1.0; // of the jobs; only the last steps may be missing
+  // Share of the jobs that have this step. A job without the step has none of the later steps
+  // either.
+  double share = 1.0;
 };
 
 struct job_kind
@@ -30,10 +33,11 @@
   jobs::queue_policy policy;
   double per_second = 0.0;
   std::vector<load_profile_step> steps;
-  // Objective: from the hand-in to the end, beyond the longest chain of estimated work.
+  // Objective for the time from submission to the end of a job, in addition to the longest chain of
+  // estimated work.
   common::duration deadline{};
 
-  bool lasts() const;
+  bool is_long_running() const;
 };
 
 struct load_profile
@@ -45,7 +49,7 @@
   std::vector<job_kind> kinds;
 };
 
-// Notes every mistake; none if there is any.
+// Adds every mistake in the file to `problems`. Returns nullopt if there is any.
 std::optional<load_profile> parse_load_profile(const std::string& text, const std::string& file,
                                                common::problem_list& problems);
 } // namespace yardhill::load
--- a/Source/Core/Load/LoadReport.cpp
+++ b/Source/Core/Load/LoadReport.cpp
@@ -30,7 +30,7 @@
 bool completed(const played_job& job)
 {
   if (job.planned->spec.long_running())
-    return job.begun && job.state == job_state::cancelled;
+    return job.started && job.state == job_state::cancelled;
   return job.state == job_state::completed;
 }
 
@@ -42,11 +42,11 @@
   if (!job.accepted)
     return;
   ++report.accepted;
-  if (job.begun)
-    report.to_begin.push_back(*job.begun - job.planned->at);
+  if (job.started)
+    report.start_latencies.push_back(*job.started - job.planned->at);
   if (!job.ended)
   {
-    ++report.unended;
+    ++report.unfinished;
     return;
   }
   if (!completed(job))
@@ -58,22 +58,23 @@
   if (job.planned->spec.long_running())
     return;
   const common::duration took = *job.ended - job.planned->at;
-  report.to_end.push_back(took);
+  report.end_latencies.push_back(took);
   report.late += took > deadline + jobs::longest_chain(job.planned->spec.steps) ? 1 : 0;
 }
 } // namespace
 
-std::vector<kind_report> report_by_kind(const load_profile& of, const std::vector<played_job>& jobs)
+std::vector<kind_report> report_by_kind(const load_profile& profile,
+                                        const std::vector<played_job>& jobs)
 {
-  std::vector<kind_report> reports(of.kinds.size());
+  std::vector<kind_report> reports(profile.kinds.size());
   for (std::size_t i = 0; i < reports.size(); ++i)
-    reports[i].kind = of.kinds[i].name;
+    reports[i].kind = profile.kinds[i].name;
   for (const played_job& job : jobs)
-    count(reports[job.planned->kind], job, of.kinds[job.planned->kind].deadline);
+    count(reports[job.planned->kind], job, profile.kinds[job.planned->kind].deadline);
   for (kind_report& report : reports)
   {
-    std::sort(report.to_begin.begin(), report.to_begin.end());
-    std::sort(report.to_end.begin(), report.to_end.end());
+    std::sort(report.start_latencies.begin(), report.start_latencies.end());
+    std::sort(report.end_latencies.begin(), report.end_latencies.end());
   }
   return reports;
 }
@@ -98,12 +99,13 @@
   for (const kind_report& each : reports)
   {
     char line[200];
-    std::snprintf(line, sizeof line,
-                  "%-16s%6zu%6zu%6zu%8zu%9zu%10zu%12zu%12.0f%10.0f%12.0f%10.0f\n",
-                  each.kind.c_str(), each.sent, each.completed, each.late, each.failed,
-                  each.unended, each.refusals, each.unanswered,
-                  millis(quantile_of(each.to_begin, 0.5)), millis(quantile_of(each.to_begin, 0.99)),
-                  millis(quantile_of(each.to_end, 0.5)), millis(quantile_of(each.to_end, 0.99)));
+    std::snprintf(
+        line, sizeof line, "%-16s%6zu%6zu%6zu%8zu%9zu%10zu%12zu%12.0f%10.0f%12.0f%10.0f\n",
+        each.kind.c_str(), each.sent, each.completed, each.late, each.failed, each.unfinished,
+        each.refusals, each.unanswered, millis(quantile_of(each.start_latencies, 0.5)),
+        millis(quantile_of(each.start_latencies, 0.99)),
+        millis(quantile_of(each.end_latencies, 0.5)),
+        millis(quantile_of(each.end_latencies, 0.99)));
     out += line;
   }
   return out;
@@ -120,34 +122,34 @@
                    {"completed", each.completed},
                    {"late", each.late},
                    {"failed", each.failed},
-                   {"unended", each.unended},
+                   {"unended", each.unfinished},
                    {"refusals", each.refusals},
                    {"unanswered", each.unanswered},
-                   {"begin_p50_ms", millis(quantile_of(each.to_begin, 0.5))},
-                   {"begin_p99_ms", millis(quantile_of(each.to_begin, 0.99))},
-                   {"end_p50_ms", millis(quantile_of(each.to_end, 0.5))},
-                   {"end_p99_ms", millis(quantile_of(each.to_end, 0.99))}});
+                   {"begin_p50_ms", millis(quantile_of(each.start_latencies, 0.5))},
+                   {"begin_p99_ms", millis(quantile_of(each.start_latencies, 0.99))},
+                   {"end_p50_ms", millis(quantile_of(each.end_latencies, 0.5))},
+                   {"end_p99_ms", millis(quantile_of(each.end_latencies, 0.99))}});
   }
   return out.dump();
 }
 
-std::string to_line(const load_profile& of, const planned_job& job)
+std::string to_line(const load_profile& profile, const planned_job& job)
 {
   return json{{"id", job.id},
-              {"kind", of.kinds[job.kind].name},
+              {"kind", profile.kinds[job.kind].name},
               {"at_ms", millis(job.at)},
               {"body", adapter::submission_body(job.spec)}}
       .dump();
 }
 
-std::string to_line(const load_profile& of, const played_job& job)
+std::string to_line(const load_profile& profile, const played_job& job)
 {
   return json{{"id", job.planned->id},
-              {"kind", of.kinds[job.planned->kind].name},
+              {"kind", profile.kinds[job.planned->kind].name},
               {"handed_in_ms", millis(job.planned->at)},
               {"tries", job.tries},
               {"accepted_ms", optional_millis(job.accepted)},
-              {"begun_ms", optional_millis(job.begun)},
+              {"begun_ms", optional_millis(job.started)},
               {"ended_ms", optional_millis(job.ended)},
               {"state", job.state ? json(jobs::to_text(*job.state)) : json()},
               {"detail", job.detail}}
--- a/Source/Core/Load/LoadReport.h
+++ b/Source/Core/Load/LoadReport.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// What a load's callers saw, by kind of job.
+// Summarizes per kind of job what the callers of a load observed.
 
 #include <cstddef>
 #include <string>
@@ -18,28 +18,29 @@
   std::string kind;
   std::size_t sent = 0;
   std::size_t accepted = 0;
-  std::size_t completed = 0; // of jobs that last: begun, and cancelled when they were asked to be
+  std::size_t completed = 0; // long-running jobs: started, and cancelled on request
   std::size_t failed = 0;
-  std::size_t unended = 0; // accepted, and no end was shown
+  std::size_t unfinished = 0; // accepted, but not reported as ended
   std::size_t refusals = 0;
   std::size_t unanswered = 0;
   std::size_t late = 0; // completed after their deadline
-  // From the hand-in; as exact as the callers ask often.
-  std::vector<common::duration> to_begin; // sorted
-  std::vector<common::duration> to_end;   // sorted; of jobs that end by themselves
+  // Measured from the planned submission. The resolution is caller_options::state_query_period.
+  std::vector<common::duration> start_latencies; // sorted
+  std::vector<common::duration> end_latencies;   // sorted; without long-running jobs
 };
 
-std::vector<kind_report> report_by_kind(const load_profile& of,
+std::vector<kind_report> report_by_kind(const load_profile& profile,
                                         const std::vector<played_job>& jobs);
-// Whether every job was accepted and ended as it should.
+// Returns whether every job was accepted and completed.
 bool all_served(const std::vector<kind_report>& reports);
-// The value that `quantile` (0 to 1) of them do not exceed; 0 of none.
+// Returns the value that a share of `quantile` (0 to 1) of the values does not exceed, or 0 if
+// there are no values.
 common::duration quantile_of(const std::vector<common::duration>& sorted, double quantile);
 
 std::string to_table(const std::vector<kind_report>& reports);
 std::string to_json(const std::vector<kind_report>& reports);
-// One JSON line for a job, times in milliseconds; Tools/plot-load draws them.
-std::string to_line(const load_profile& of, const played_job& job);
-// A job that is yet to be handed in, with the body that will be sent.
-std::string to_line(const load_profile& of, const planned_job& job);
+// Returns a JSON line for a job, with times in milliseconds. Tools/plot-load plots such lines.
+std::string to_line(const load_profile& profile, const played_job& job);
+// Returns a JSON line for a job that has not been submitted yet, with the body that will be sent.
+std::string to_line(const load_profile& profile, const planned_job& job);
 } // namespace yardhill::load
--- a/Source/Core/Load/LoadRunner.cpp
+++ b/Source/Core/Load/LoadRunner.cpp
@@ -8,11 +8,11 @@
 namespace yardhill::load
 {
 load_runner::load_runner(common::timekeeper& time, adapter::caller_client& caller,
-                         const load_profile& of, std::vector<common::endpoint> instances,
+                         const load_profile& profile, std::vector<common::endpoint> instances,
                          const caller_options& options)
     : m_time(time),
       m_caller(caller),
-      m_yard(of),
+      m_profile(profile),
       m_instances(std::move(instances)),
       m_options(options)
 {
@@ -21,54 +21,55 @@
 void load_runner::play(const std::vector<planned_job>& plan, std::function<void()> done)
 {
   m_done = std::move(done);
-  m_begin = m_time.now();
+  m_start = m_time.now();
   m_jobs.resize(plan.size());
-  m_open = plan.size();
+  m_unfinished_jobs = plan.size();
   if (plan.empty())
   {
     m_time.post(m_done);
     return;
   }
-  m_last = plan.back().at;
+  m_last_submission = plan.back().at;
   for (std::size_t i = 0; i < plan.size(); ++i)
   {
     m_jobs[i].planned = &plan[i];
-    m_time.schedule(plan[i].at, [this, i] { hand_in(m_jobs[i]); });
+    m_time.schedule(plan[i].at, [this, i] { submit(m_jobs[i]); });
   }
-  m_time.schedule(m_last + m_options.settle, [this] { leave_rest(); });
+  m_time.schedule(m_last_submission + m_options.settle_timeout,
+                  [this] { abandon_unfinished_jobs(); });
 }
 
 const adapter::queue_address& load_runner::queue_of(const played_job& job) const
 {
-  return m_yard.kinds[job.planned->kind].queue;
+  return m_profile.kinds[job.planned->kind].queue;
 }
 
 const common::endpoint& load_runner::next_instance()
 {
-  return m_instances[m_turn++ % m_instances.size()];
+  return m_instances[m_next_instance++ % m_instances.size()];
 }
 
-void load_runner::hand_in(played_job& job)
+void load_runner::submit(played_job& job)
 {
   ++job.tries;
   m_caller.submit(
-      next_instance(), queue_of(job), job.planned->id, job.planned->spec, m_options.patience,
-      [this, &job](const adapter::caller_answer& answer) { on_handed_in(job, answer); });
+      next_instance(), queue_of(job), job.planned->id, job.planned->spec, m_options.call_timeout,
+      [this, &job](const adapter::caller_answer& answer) { handle_submit_reply(job, answer); });
 }
 
-void load_runner::on_handed_in(played_job& job, const adapter::caller_answer& answer)
+void load_runner::handle_submit_reply(played_job& job, const adapter::caller_answer& answer)
 {
   if (answer.ok())
   {
-    job.accepted = since_begin();
-    ask(job);
+    job.accepted = since_start();
+    query_state(job);
     return;
   }
   job.detail = answer.detail;
-  if (answer.unreached && ++job.unreached <= m_options.most_unreached)
+  if (answer.unreached && ++job.unreached <= m_options.max_unreached)
   {
     --job.tries;
-    m_time.post([this, &job] { hand_in(job); });
+    m_time.post([this, &job] { submit(job); });
     return;
   }
   const bool refused = answer.status == 429 || answer.status == 503;
@@ -77,67 +78,69 @@
   const bool again = refused || answer.status == 0 || answer.status == 502 || answer.status == 504;
   if (!again || job.tries > m_options.retries)
   {
-    end(job);
+    finish_job(job);
     return;
   }
-  m_time.schedule(m_options.retry_pause, [this, &job] { hand_in(job); });
+  m_time.schedule(m_options.retry_pause, [this, &job] { submit(job); });
 }
 
-void load_runner::ask(played_job& job)
+void load_runner::query_state(played_job& job)
 {
-  m_caller.ask(next_instance(), queue_of(job), job.planned->id, m_options.patience,
-               [this, &job](const adapter::caller_answer& answer) { on_state(job, answer); });
+  m_caller.ask(next_instance(), queue_of(job), job.planned->id, m_options.call_timeout,
+               [this, &job](const adapter::caller_answer& answer)
+               { handle_state_reply(job, answer); });
 }
 
-void load_runner::on_state(played_job& job, const adapter::caller_answer& answer)
+void load_runner::handle_state_reply(played_job& job, const adapter::caller_answer& answer)
 {
-  if (job.over)
+  if (job.finished)
     return;
   if (!answer.state)
   {
     job.detail = answer.detail;
-    ask_later(job);
+    schedule_state_query(job);
     return;
   }
   job.state = answer.state;
-  if (*answer.state != jobs::job_state::queued && !job.begun)
-    job.begun = since_begin();
+  if (*answer.state != jobs::job_state::queued && !job.started)
+    job.started = since_start();
   if (jobs::is_final(*answer.state))
   {
-    job.ended = since_begin();
-    end(job);
+    job.ended = since_start();
+    finish_job(job);
   }
-  else if (job.planned->spec.long_running() && job.begun && since_begin() >= m_last)
+  else if (job.planned->spec.long_running() && job.started && since_start() >= m_last_submission)
     cancel(job);
   else
-    ask_later(job);
+    schedule_state_query(job);
 }
 
-void load_runner::ask_later(played_job& job)
+void load_runner::schedule_state_query(played_job& job)
 {
-  m_time.schedule(m_options.ask_period, [this, &job] { ask(job); });
+  m_time.schedule(m_options.state_query_period, [this, &job] { query_state(job); });
 }
 
 void load_runner::cancel(played_job& job)
 {
-  // Whatever the answer: the state tells whether it is done, and it is asked for again if not.
-  m_caller.cancel(next_instance(), queue_of(job), job.planned->id, m_options.patience,
-                  [this, &job](const adapter::caller_answer&) { ask_later(job); });
+  // The answer is ignored. The next state query shows whether the job is cancelled; if it is not,
+  // the cancellation is sent again.
+  m_caller.cancel(next_instance(), queue_of(job), job.planned->id, m_options.call_timeout,
+                  [this, &job](const adapter::caller_answer&) { schedule_state_query(job); });
 }
 
-void load_runner::end(played_job& job)
+void load_runner::finish_job(played_job& job)
 {
-  job.over = true;
-  if (--m_open == 0)
+  job.finished = true;
+  if (--m_unfinished_jobs == 0)
     m_done();
 }
 
-void load_runner::leave_rest()
+void load_runner::abandon_unfinished_jobs()
 {
   for (played_job& job : m_jobs)
   {
-    if (!job.over)
-      end(job);
+    if (!job.finished)
+      finish_job(job);
   }
 }
 } // namespace yardhill::load
--- a/Source/UnitTests/Load/LoadProfileTest.cpp
+++ b/Source/UnitTests/Load/LoadProfileTest.cpp
@@ -16,7 +16,7 @@
 
 namespace
 {
-load::load_profile sample_yard(const std::string& name)
+load::load_profile sample_profile(const std::string& name)
 {
   std::ifstream file(std::string(YARDHILL_ROOT) + "/Data/platform/" + name);
   std::ostringstream text;
@@ -30,15 +30,15 @@
 
 BOOST_AUTO_TEST_SUITE(LoadProfileTest)
 
-BOOST_AUTO_TEST_CASE(the_sample_yards_are_read)
+BOOST_AUTO_TEST_CASE(sample_profiles_are_parsed)
 {
-  const load::load_profile load_profile = sample_yard("periyar.jsonc");
+  const load::load_profile load_profile = sample_profile("periyar.jsonc");
   BOOST_TEST(load_profile.workers == 48U);
   BOOST_TEST(load_profile.worker_capacity.memory_mib == 32768);
   BOOST_TEST_REQUIRE(load_profile.kinds.size() == 3U);
   BOOST_TEST(load_profile.kinds[0].steps[1].spec.depends_on.front() == 0U);
-  BOOST_TEST(load_profile.kinds[2].lasts());
-  BOOST_TEST(sample_yard("thies.jsonc").kinds.size() == 3U);
+  BOOST_TEST(load_profile.kinds[2].is_long_running());
+  BOOST_TEST(sample_profile("thies.jsonc").kinds.size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(each_mistake_names_its_field)
@@ -61,7 +61,7 @@
 
 BOOST_AUTO_TEST_CASE(a_plan_follows_from_its_seed_and_keeps_the_rates)
 {
-  const load::load_profile load_profile = sample_yard("periyar.jsonc");
+  const load::load_profile load_profile = sample_profile("periyar.jsonc");
   const auto plan = load::plan_load(load_profile, {seconds{100}, 1.0, 7});
   const auto again = load::plan_load(load_profile, {seconds{100}, 1.0, 7});
   BOOST_TEST_REQUIRE(plan.size() == again.size());
@@ -70,13 +70,13 @@
                             [](const auto& one, const auto& other) { return one.at < other.at; }));
   const auto previews =
       std::count_if(plan.begin(), plan.end(), [](const auto& each) { return each.kind == 0; });
-  BOOST_TEST(previews > 1300); // 1,450 are expected, four deviations less are 1,298
+  BOOST_TEST(previews > 1300); // expected: 1,450; four standard deviations below: 1,298
   BOOST_TEST(previews < 1603);
-  const auto short_ones =
+  const auto one_step_jobs =
       std::count_if(plan.begin(), plan.end(),
                     [](const auto& each) { return each.kind == 0 && each.spec.steps.size() == 1; });
-  BOOST_TEST(short_ones > previews / 4); // two fifths have one step
-  BOOST_TEST(short_ones < previews / 2);
+  BOOST_TEST(one_step_jobs > previews / 4); // two fifths of these jobs have one step
+  BOOST_TEST(one_step_jobs < previews / 2);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/UnitTests/Load/LoadRunnerTest.cpp
+++ b/Source/UnitTests/Load/LoadRunnerTest.cpp
@@ -14,7 +14,8 @@
 
 namespace
 {
-// Instances that answer as the test says, a millisecond later.
+// Instances that give the answers set by the test after one millisecond. A missing answer is
+// reported after the timeout.
 struct scripted_instances : http::peer_sender
 {
   explicit scripted_instances(model::virtual_time& with) : time(with) {}
@@ -77,7 +78,7 @@
 
 BOOST_AUTO_TEST_SUITE(LoadRunnerTest)
 
-BOOST_FIXTURE_TEST_CASE(a_refused_job_is_handed_in_again_elsewhere_with_the_same_id, one_caller)
+BOOST_FIXTURE_TEST_CASE(a_refused_job_is_submitted_to_another_instance_with_the_same_id, one_caller)
 {
   instances.answers = {{503, R"({"error":"the store is away"})", {}, false},
                        {},
@@ -88,7 +89,7 @@
   BOOST_TEST(report.completed == 1U);
   BOOST_TEST(report.refusals == 1U);
   BOOST_TEST(report.unanswered == 1U);
-  BOOST_TEST(report.late == 1U); // a refusal, a silence of three seconds, two pauses
+  BOOST_TEST(report.late == 1U); // one refusal, one timeout of three seconds and two retry pauses
   BOOST_TEST_REQUIRE(instances.calls.size() == 6U);
   BOOST_TEST(instances.calls[0].first.port != instances.calls[1].first.port);
   BOOST_TEST(instances.calls[0].second.target == "/k/0123456789abcdef");
@@ -96,16 +97,16 @@
   BOOST_TEST(load::all_served({report}));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_instance_that_is_not_there_costs_no_time, one_caller)
+BOOST_FIXTURE_TEST_CASE(an_unreachable_instance_costs_no_time, one_caller)
 {
   instances.answers = {{0, {}, "connect: refused", true}, {200, "{}", {}, false}};
   const load::kind_report report = play();
   BOOST_TEST(report.completed == 1U);
   BOOST_TEST(report.unanswered == 0U);
-  BOOST_TEST((report.to_end.front() < milliseconds{10}));
+  BOOST_TEST((report.end_latencies.front() < milliseconds{10}));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_job_that_is_wrong_is_not_handed_in_again, one_caller)
+BOOST_FIXTURE_TEST_CASE(an_invalid_job_is_not_submitted_again, one_caller)
 {
   instances.answers = {{400, R"({"error":"no steps"})", {}, false}};
   const load::kind_report report = play();
@@ -115,16 +116,16 @@
   BOOST_TEST(runner.jobs().front().detail == "no steps");
 }
 
-BOOST_FIXTURE_TEST_CASE(a_job_that_never_ends_is_left_in_the_end, one_caller)
+BOOST_FIXTURE_TEST_CASE(a_job_that_never_ends_is_abandoned, one_caller)
 {
   instances.answers.assign(1000, {200, R"({"state":"active"})", {}, false});
   const load::kind_report report = play();
   BOOST_TEST(report.accepted == 1U);
-  BOOST_TEST(report.unended == 1U);
+  BOOST_TEST(report.unfinished == 1U);
   BOOST_TEST(!load::all_served({report}));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_job_that_lasts_is_cancelled_once_all_are_handed_in, one_caller)
+BOOST_FIXTURE_TEST_CASE(a_long_running_job_is_cancelled_once_all_jobs_are_submitted, one_caller)
 {
   plan.front().spec.steps.front().long_running = true;
   instances.answers = {{200, "{}", {}, false},
