--- a/Source/Core/Gateway/HttpGateway.cpp
+++ b/Source/Core/Gateway/HttpGateway.cpp
@@ -44,8 +44,7 @@
         {
           sent.get();
         }
-        catch (
-            const std::exception&) // NOLINT(bugprone-empty-catch): the caller closed the connection
+        catch (const std::exception&) // NOLINT(bugprone-empty-catch): the caller disconnected
         {
         }
       });
@@ -76,8 +75,7 @@
         {
           sent.get();
         }
-        catch (
-            const std::exception&) // NOLINT(bugprone-empty-catch): the caller closed the connection
+        catch (const std::exception&) // NOLINT(bugprone-empty-catch): the caller disconnected
         {
         }
       });
--- a/Source/Core/Platform/PlatformClient.h
+++ b/Source/Core/Platform/PlatformClient.h
@@ -26,7 +26,8 @@
                   metrics& counts);
   ~platform_client();
 
-  // Each callback is called exactly once, on a thread of the HTTP library.
+  // Each callback, except that of list_instances, is called exactly once. All are called on a
+  // thread of the HTTP library.
   void read(const store_read& request, std::function<void(store_read_result)> done);
   void write(const store_transaction& request, std::function<void(store_write_result)> done);
   void put(const object_put& request, std::function<void(store_write_result)> done);
--- a/Source/Core/Platform/TableProtocol.h
+++ b/Source/Core/Platform/TableProtocol.h
@@ -18,8 +18,8 @@
 // Paths below the platform's base URL. The table paths take POST, the instance list takes GET.
 inline constexpr const char* k_read_path = "/table/read";
 inline constexpr const char* k_transaction_path = "/table/transaction";
-inline constexpr const char* k_objects_path =
-    "/objects/"; // followed by the encoded key; PUT and GET of unencoded bytes
+// Followed by the encoded key. PUT and GET transfer the bytes of the object unchanged.
+inline constexpr const char* k_objects_path = "/objects/";
 inline constexpr const char* k_instances_path = "/instances";
 inline constexpr const char* k_caller_header = "Yardhill-Caller";
 
