--- a/Source/Core/Peer/PeerMesh.cpp
+++ b/Source/Core/Peer/PeerMesh.cpp
@@ -178,46 +178,46 @@
     connect(entry->second);
   }
 
-  void connect(dialled_peer& target)
+  void connect(dialled_peer& dialled)
   {
     error_code error;
-    const auto address = asio::ip::make_address(target.where.address, error);
+    const auto address = asio::ip::make_address(dialled.where.address, error);
     if (error)
       return;
     const auto socket = std::make_shared<tcp::socket>(m_context);
-    target.timer->expires_after(k_connect_timeout);
-    target.timer->async_wait(
+    dialled.timer->expires_after(k_connect_timeout);
+    dialled.timer->async_wait(
         [socket](const error_code& ended)
         {
           error_code ignored;
           if (!ended)
             socket->close(ignored);
         });
-    socket->async_connect(tcp::endpoint(address, target.where.port),
-                          [this, &target, socket](const error_code& failed)
+    socket->async_connect(tcp::endpoint(address, dialled.where.port),
+                          [this, &dialled, socket](const error_code& failed)
                           {
-                            target.timer->cancel();
+                            dialled.timer->cancel();
                             if (failed)
-                              redial(target);
+                              redial(dialled);
                             else
-                              handle_connected(target, std::move(*socket));
+                              handle_connected(dialled, std::move(*socket));
                           });
   }
 
-  void handle_connected(dialled_peer& target, tcp::socket socket)
+  void handle_connected(dialled_peer& dialled, tcp::socket socket)
   {
     const auto link = std::make_shared<frame_connection>(
         std::move(socket),
-        [this, &target](const auto& from, frame received)
-        { handle_outgoing_frame(target, from, received); },
-        [this, &target](const auto& from, const std::string& why)
-        { handle_outgoing_closed(target, from, why); });
+        [this, &dialled](const auto& from, frame received)
+        { handle_outgoing_frame(dialled, from, received); },
+        [this, &dialled](const auto& from, const std::string& why)
+        { handle_outgoing_closed(dialled, from, why); });
     link->start();
     link->send(encode(m_self));
   }
 
   // On a connection that it accepted, a peer sends nothing but its hello.
-  void handle_outgoing_frame(dialled_peer& target, const frame_connection::pointer& link,
+  void handle_outgoing_frame(dialled_peer& dialled, const frame_connection::pointer& link,
                              const frame& received)
   {
     const auto* greeting = std::get_if<hello>(&received);
@@ -226,13 +226,13 @@
       link->close("bad hello");
       return;
     }
-    target.delay = k_first_redial_delay;
+    dialled.delay = k_first_redial_delay;
     link->peer = greeting->instance;
     m_outgoing[link->peer] = link;
     report_link_change(link->peer);
   }
 
-  void handle_outgoing_closed(dialled_peer& target, const frame_connection::pointer& link,
+  void handle_outgoing_closed(dialled_peer& dialled, const frame_connection::pointer& link,
                               const std::string& why)
   {
     report_close(link->peer, why);
@@ -242,18 +242,18 @@
       m_outgoing.erase(found);
       report_link_change(link->peer);
     }
-    redial(target);
+    redial(dialled);
   }
 
-  void redial(dialled_peer& target)
+  void redial(dialled_peer& dialled)
   {
-    target.timer->expires_after(target.delay);
-    target.delay = std::min(target.delay * 2, k_max_redial_delay);
-    target.timer->async_wait(
-        [this, &target](const error_code& error)
+    dialled.timer->expires_after(dialled.delay);
+    dialled.delay = std::min(dialled.delay * 2, k_max_redial_delay);
+    dialled.timer->async_wait(
+        [this, &dialled](const error_code& error)
         {
           if (!error)
-            connect(target);
+            connect(dialled);
         });
   }
 
--- a/Source/Core/Service/EventLoop.cpp
+++ b/Source/Core/Service/EventLoop.cpp
@@ -19,9 +19,9 @@
 } // namespace
 
 event_loop::event_loop(const instance::instance_identity& identity, const core_options& options,
-                       metrics& counts, carry_out carry)
+                       metrics& counts, command_executor execute)
     : m_metrics(counts),
-      m_carry(std::move(carry)),
+      m_execute(std::move(execute)),
       m_core(identity, options, decision::k_yardhill_policy, counts, now())
 {
 }
@@ -87,7 +87,7 @@
       commands = m_core.step(next_event, start_time);
     }
     m_metrics.record(timing::decision, now() - start_time);
-    m_carry(std::move(commands));
+    m_execute(std::move(commands));
   }
 }
 } // namespace yardhill::service
--- a/Source/Core/Service/EventLoop.h
+++ b/Source/Core/Service/EventLoop.h
@@ -23,11 +23,11 @@
 class event_loop
 {
 public:
-  using carry_out = std::function<void(std::vector<instance::command>)>;
+  using command_executor = std::function<void(std::vector<instance::command>)>;
 
-  // `carry` is called on the thread of the loop with the commands of each step.
+  // `execute` is called on the thread of the loop with the commands of each step.
   event_loop(const instance::instance_identity& identity, const core_options& options,
-             metrics& counts, carry_out carry);
+             metrics& counts, command_executor execute);
   ~event_loop();
 
   void start();
@@ -49,7 +49,7 @@
   void run();
 
   metrics& m_metrics;
-  carry_out m_carry;
+  command_executor m_execute;
   std::mutex m_core_lock;
   instance::instance_core m_core;
   std::mutex m_queue_lock;
