--- a/Source/Core/Peer/FrameCodec.cpp
+++ b/Source/Core/Peer/FrameCodec.cpp
@@ -11,11 +11,12 @@
 {
 namespace
 {
-// Deeper or larger tables than these are no frames of ours.
-constexpr flatbuffers::uoffset_t k_most_depth = 16;
-constexpr flatbuffers::uoffset_t k_most_tables = 100'000;
+// Limits for the FlatBuffers verifier. Frames with deeper nesting or more tables than a
+// peer message has are rejected.
+constexpr flatbuffers::uoffset_t k_max_depth = 16;
+constexpr flatbuffers::uoffset_t k_max_tables = 100'000;
 
-// --- to the wire ---
+// --- Encoding ---
 
 wire::ResourcesT to_wire(const resources& from)
 {
@@ -263,7 +264,7 @@
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-// --- from the wire ---
+// --- Decoding ---
 
 template<class enum_type>
 std::optional<enum_type> enum_from(std::uint8_t value)
@@ -397,7 +398,7 @@
 
 std::optional<frame> decode(std::span<const std::uint8_t> bytes)
 {
-  flatbuffers::Verifier verifier(bytes.data(), bytes.size(), k_most_depth, k_most_tables);
+  flatbuffers::Verifier verifier(bytes.data(), bytes.size(), k_max_depth, k_max_tables);
   if (!verifier.VerifySizePrefixedBuffer<wire::Frame>(nullptr))
     return std::nullopt;
   wire::FrameT parsed;
@@ -447,10 +448,10 @@
   }
   case wire::Message::WayQuestion:
     return peer_message{store_reachability_query{parsed.message.AsWayQuestion()->often,
-                                                 parsed.message.AsWayQuestion()->late_ms}};
+                                     parsed.message.AsWayQuestion()->late_ms}};
   case wire::Message::WayReport:
     return peer_message{store_reachability_report{parsed.message.AsWayReport()->has_way,
-                                                  parsed.message.AsWayReport()->newest_config}};
+                                   parsed.message.AsWayReport()->newest_config}};
   case wire::Message::StateQuestion:
   {
     const wire::StateQuestionT& question = *parsed.message.AsStateQuestion();
@@ -462,8 +463,7 @@
     return peer_message{job_state_reply{reply.number, reply.known, reply.state}};
   }
   case wire::Message::StrengthReport:
-    return peer_message{
-        processor_capacity_report{parsed.message.AsStrengthReport()->processor_millis}};
+    return peer_message{processor_capacity_report{parsed.message.AsStrengthReport()->processor_millis}};
   case wire::Message::OrdersQuestion:
   {
     const wire::OrdersQuestionT& question = *parsed.message.AsOrdersQuestion();
