--- a/Source/Core/Instance/PartitionHome.cpp
+++ b/Source/Core/Instance/PartitionHome.cpp
@@ -116,7 +116,7 @@
 
 void partition_home::release_ownership(time_point now)
 {
-  m_ownership.renounce(now);
+  m_ownership.release_ownership(now);
 }
 
 void partition_home::advance(time_point now)
--- a/Source/Core/Instance/RequestRouter.cpp
+++ b/Source/Core/Instance/RequestRouter.cpp
@@ -96,16 +96,16 @@
   bool refused = !fill_spec(request, cell, new_request.spec, refusal);
   if (!refused && m_stopping)
   {
-    refusal =
-        refuse_unrouted(new_request.spec, refusal_reason::instance_stopping,
-                        "this instance is stopping; ask another", "accept", m_options.retry_after_delay);
+    refusal = refuse_unrouted(new_request.spec, refusal_reason::instance_stopping,
+                              "this instance is stopping; ask another", "accept",
+                              m_options.retry_after_delay);
     refused = true;
   }
   if (!refused && m_pending.size() >= m_options.max_pending_requests)
   {
-    refusal =
-        refuse_unrouted(new_request.spec, refusal_reason::queue_full,
-                        "too many requests are under way here", "accept", m_options.retry_after_delay);
+    refusal = refuse_unrouted(new_request.spec, refusal_reason::queue_full,
+                              "too many requests are under way here", "accept",
+                              m_options.retry_after_delay);
     refused = true;
   }
   if (refused)
@@ -407,9 +407,9 @@
     pending_request& request = found->second;
     if (now >= request.reply_deadline)
     {
-      finish(number,
-             unclear(request.spec.id, refusal_reason::owner_unreachable,
-                     "no answer came in time; ask for its status", "route", m_options.retry_after_delay));
+      finish(number, unclear(request.spec.id, refusal_reason::owner_unreachable,
+                             "no answer came in time; ask for its status", "route",
+                             m_options.retry_after_delay));
       continue;
     }
     if (request.state == routing_state::parked && now >= request.next_try)
--- a/Source/Core/Model/AdviceModel.cpp
+++ b/Source/Core/Model/AdviceModel.cpp
@@ -64,11 +64,12 @@
     m_tickets[ticket] = {step, incarnation, m_time.now() + m_settings.valid};
     good.push_back({worker, ticket});
   }
-  return {
-      200,
-      json{{wire::k_permitted_workers, std::move(good)}, {wire::k_valid_ms, m_settings.valid.count()}}.dump(),
-      {},
-      false};
+  return {200,
+          json{{wire::k_permitted_workers, std::move(good)},
+               {wire::k_valid_ms, m_settings.valid.count()}}
+              .dump(),
+          {},
+          false};
 }
 
 bool advice_model::valid(const std::string& ticket, const std::string& step,
--- a/Source/Core/Model/RunJudge.cpp
+++ b/Source/Core/Model/RunJudge.cpp
@@ -290,7 +290,8 @@
   m_leaving.emplace(worker, at);
 }
 
-void run_judge::ended(const task_ref& task, run_number run, const std::string& worker, run_outcome how)
+void run_judge::ended(const task_ref& task, run_number run, const std::string& worker,
+                      run_outcome how)
 {
   m_lapsed += how == run_outcome::lapsed ? 1 : 0;
   common::log_request("judge_ended", task.job,
--- a/Source/Core/Model/RunJudge.h
+++ b/Source/Core/Model/RunJudge.h
@@ -19,8 +19,8 @@
 
 namespace yardhill::model
 {
-using scheduling::run_outcome;
 using scheduling::run_number;
+using scheduling::run_outcome;
 using scheduling::task_ref;
 
 // A run that a worker starts.
--- a/Source/Core/Model/VirtualNetwork.cpp
+++ b/Source/Core/Model/VirtualNetwork.cpp
@@ -55,8 +55,7 @@
                       const duration pause = m_time.now() - *pending->last_bytes_at;
                       if (pause < pending->expects->max_pause)
                       {
-                        end_unanswered(pending, pending->expects->max_pause - pause,
-                                       unreachable);
+                        end_unanswered(pending, pending->expects->max_pause - pause, unreachable);
                         return;
                       }
                     }
--- a/Source/Core/Ownership/WriteQueue.cpp
+++ b/Source/Core/Ownership/WriteQueue.cpp
@@ -36,7 +36,8 @@
 
 void write_queue::append(const record_write& write, time_point now)
 {
-  const duration window = is_awaited(write) ? m_options.urgent_commit_delay : m_options.deferred_commit_delay;
+  const duration window =
+      is_awaited(write) ? m_options.urgent_commit_delay : m_options.deferred_commit_delay;
   m_due = std::min(m_due, now + window);
   m_pending.push_back({write, now, false});
 }
--- a/Source/Core/Peer/FrameCodec.cpp
+++ b/Source/Core/Peer/FrameCodec.cpp
@@ -448,10 +448,10 @@
   }
   case wire::Message::WayQuestion:
     return peer_message{store_reachability_query{parsed.message.AsWayQuestion()->often,
-                                     parsed.message.AsWayQuestion()->late_ms}};
+                                                 parsed.message.AsWayQuestion()->late_ms}};
   case wire::Message::WayReport:
     return peer_message{store_reachability_report{parsed.message.AsWayReport()->has_way,
-                                   parsed.message.AsWayReport()->newest_config}};
+                                                  parsed.message.AsWayReport()->newest_config}};
   case wire::Message::StateQuestion:
   {
     const wire::StateQuestionT& question = *parsed.message.AsStateQuestion();
@@ -463,7 +463,8 @@
     return peer_message{job_state_reply{reply.number, reply.known, reply.state}};
   }
   case wire::Message::StrengthReport:
-    return peer_message{processor_capacity_report{parsed.message.AsStrengthReport()->processor_millis}};
+    return peer_message{
+        processor_capacity_report{parsed.message.AsStrengthReport()->processor_millis}};
   case wire::Message::OrdersQuestion:
   {
     const wire::OrdersQuestionT& question = *parsed.message.AsOrdersQuestion();
--- a/Source/Core/Scheduling/CrashWatch.cpp
+++ b/Source/Core/Scheduling/CrashWatch.cpp
@@ -436,7 +436,8 @@
 
 bool crash_watch::heard_recently(const worker_record& worker, time_point now) const
 {
-  return now - worker.heard_at <= std::max(m_state.options.max_list_age, m_state.worker_request_timeout);
+  return now - worker.heard_at <=
+         std::max(m_state.options.max_list_age, m_state.worker_request_timeout);
 }
 
 duration crash_watch::trial_wait_limit(const task_record& task) const
--- a/Source/Core/Scheduling/SchedulerState.cpp
+++ b/Source/Core/Scheduling/SchedulerState.cpp
@@ -69,9 +69,9 @@
 {
   if (!run.spec().speculative)
     return run.start_expires;
-  return std::min(run.start_expires,
-                  run.worker->clock_at(now) + std::chrono::duration_cast<milliseconds>(
-                                                  options.start_validity_at(worker_request_timeout)));
+  return std::min(run.start_expires, run.worker->clock_at(now) +
+                                         std::chrono::duration_cast<milliseconds>(
+                                             options.start_validity_at(worker_request_timeout)));
 }
 
 bool scheduler_state::usable(const worker_record& worker, time_point now) const
--- a/Source/StandIns/CellStandIn.cpp
+++ b/Source/StandIns/CellStandIn.cpp
@@ -145,7 +145,7 @@
 
 private:
   using admin_call = outgoing_reply (implementation::*)(const std::vector<std::string>& words,
-                                                         const std::string& body);
+                                                        const std::string& body);
 
   common::endpoint address_of(std::uint32_t port) const
   {
--- a/Source/UnitTests/Model/RestartedWorkerTest.cpp
+++ b/Source/UnitTests/Model/RestartedWorkerTest.cpp
@@ -34,7 +34,10 @@
   {
     if (std::getenv("YARDHILL_LOG") != nullptr)
       common::open_event_log("restarted-" + std::to_string(seed));
-    cell.fleet().set_incarnation_planner([initial_clock] { return incarnation_plan{true, initial_clock, {}}; });
+    cell.fleet().set_incarnation_planner(
+        [initial_clock] {
+          return incarnation_plan{true, initial_clock, {}};
+        });
     run_for(seconds{3});
   }
 
--- a/Source/UnitTests/Peer/FrameCodecTest.cpp
+++ b/Source/UnitTests/Peer/FrameCodecTest.cpp
@@ -136,7 +136,8 @@
 
   frame = decode(bytes_of(encode(peer_message{processor_capacity_report{250}})));
   BOOST_TEST_REQUIRE(frame.has_value());
-  BOOST_TEST(std::get<processor_capacity_report>(std::get<peer_message>(*frame)).processor_millis == 250U);
+  BOOST_TEST(std::get<processor_capacity_report>(std::get<peer_message>(*frame)).processor_millis ==
+             250U);
 
   frame = decode(bytes_of(encode(peer_message{previous_requests_query{"cell", 7}})));
   BOOST_TEST_REQUIRE(frame.has_value());
@@ -152,7 +153,8 @@
   frame = decode(bytes_of(encode(peer_message{store_reachability_report{true, 18}})));
   BOOST_TEST_REQUIRE(frame.has_value());
   BOOST_TEST(std::get<store_reachability_report>(std::get<peer_message>(*frame)).has_way);
-  BOOST_TEST(std::get<store_reachability_report>(std::get<peer_message>(*frame)).newest_config == 18U);
+  BOOST_TEST(std::get<store_reachability_report>(std::get<peer_message>(*frame)).newest_config ==
+             18U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Source/Yardhill/Job.cpp
+++ b/Source/Yardhill/Job.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill job: calls instances on the platform, either for a single job of one of a load_profile's kinds
-// or to generate the load of a whole load_profile.
+// yardhill job: calls instances on the platform, either for a single job of one of a load_profile's
+// kinds or to generate the load of a whole load_profile.
 
 #include <cstdio>
 #include <fstream>
@@ -84,7 +84,8 @@
   return *std::move(load_profile);
 }
 
-const load::job_kind& find_kind(const parsed_arguments& parsed, const load::load_profile& load_profile)
+const load::job_kind& find_kind(const parsed_arguments& parsed,
+                                const load::load_profile& load_profile)
 {
   const std::string name = parsed.at("--kind").asString();
   for (const load::job_kind& kind : load_profile.kinds)
@@ -105,7 +106,8 @@
   return text;
 }
 
-std::vector<load::planned_job> make_plan(const parsed_arguments& parsed, const load::load_profile& load_profile)
+std::vector<load::planned_job> make_plan(const parsed_arguments& parsed,
+                                         const load::load_profile& load_profile)
 {
   load::load_options options;
   options.length = std::chrono::duration_cast<common::duration>(
