--- a/Source/Core/Node/CommitWriter.cpp
+++ b/Source/Core/Node/CommitWriter.cpp
@@ -12,7 +12,7 @@
 {
 namespace
 {
-// The store answers in 4 ms, and in 240 ms at the slowest that was measured (sixty times slower).
+// The store answers in 4 ms, and in 240 ms while it is sixty times slower.
 constexpr std::chrono::milliseconds k_commit_timeout{900};
 constexpr std::chrono::milliseconds k_retry_pause{200};
 
--- a/Source/Core/Node/JobStore.cpp
+++ b/Source/Core/Node/JobStore.cpp
@@ -20,7 +20,7 @@
 // Appended to a job's id, so that the row sorts after the job's own row.
 constexpr const char* k_cancel_suffix = "~cancel";
 constexpr const char* k_refused_text = "refused";
-// The store answers in 4 ms, and in 240 ms at the slowest that was measured (sixty times slower).
+// The store answers in 4 ms, and in 240 ms while it is sixty times slower.
 constexpr std::chrono::milliseconds k_write_timeout{900};
 // How many times a write that conflicted with another row is repeated.
 constexpr unsigned k_max_conflict_retries = 3;
--- a/Source/Core/Node/JobStore.h
+++ b/Source/Core/Node/JobStore.h
@@ -29,7 +29,7 @@
 // The parts of the jobs' table. A part carries out its transactions one after the other, 300 per
 // second, or six when the store is fifty times slower; then it rejects those that would wait for
 // more than a second. With 32 parts, some twenty submissions per second hardly ever wait for each
-// other: days on which the store is slow twice scored 0.82, compared with 0.69 with eight parts.
+// other; eight parts are worth 0.69 instead of 0.82 on days on which the store is slow twice.
 std::vector<std::string> job_parts();
 std::string job_part(const std::string& id);
 // Whether the partition's owner runs the job, or some of its tasks.
--- a/Source/Core/Node/PeerMonitor.cpp
+++ b/Source/Core/Node/PeerMonitor.cpp
@@ -237,7 +237,7 @@
     common::log_process("peer_silent", {{"peer", name}});
     m_events.unreachable(name);
   }
-  // A last query tells the peers not to expect_worker periodic queries any more.
+  // A last query tells the peers not to expect periodic queries any more.
   const bool stopped = m_was_owner && !owner;
   m_was_owner = owner;
   const bool any_silent = std::any_of(m_peers.begin(), m_peers.end(),
--- a/Source/Core/Node/StartupRequests.cpp
+++ b/Source/Core/Node/StartupRequests.cpp
@@ -9,7 +9,7 @@
 {
 namespace
 {
-// The configuration takes one read of the store, which the slowest store measured does in 240 ms.
+// The configuration takes one read of the store, which a slow store answers in 240 ms.
 constexpr std::chrono::milliseconds k_configuration_timeout{400};
 } // namespace
 
--- a/Source/Core/Node/TableFeed.cpp
+++ b/Source/Core/Node/TableFeed.cpp
@@ -14,8 +14,8 @@
 {
 // How long a feed's call waits at the store for a change. A lost reply or an unresponsive path to
 // the store is noticed within this time plus the slack of 0.4 s, which is within the 3 s (the
-// platform's contact_ms) after which a machine counts as in contact again. Shorter waits gave worse
-// results (1.9 s and 1 s: by 0.006 on both sites).
+// platform's contact_ms) after which a machine counts as in contact again. Waits of 1.9 s or
+// 1 s cost 0.006 of a day's worth on both sites.
 constexpr std::chrono::milliseconds k_feed_wait{2500};
 // How late a reply may begin before its call is given up; a slow store takes 240 ms (sixty times
 // its usual 4 ms). The slack doubles with each failure after the first: on a saturated link,
--- a/Source/Core/Scheduling/CrashWatch.h
+++ b/Source/Core/Scheduling/CrashWatch.h
@@ -60,7 +60,7 @@
   // worker's claim is removed, which is the only other thing that tells a later owner of the loss.
   void mark_possibly_lost(job_record& job, const task_place& place);
   // Marks the same for a run of an earlier owner that need not have been announced. The loss counts
-  // as unexplained_losses if no run is announced and no loss has been counted.
+  // as an unexplained one if no run is announced and no loss has been counted.
   void count_unjudged_loss(job_record& job, const task_place& place);
   // A task of an earlier owner waits again, and its announced run, if there is one, has not been
   // listed by any worker. The run counts as lost unless its worker was heard.
--- a/Source/Yardhill/Job.cpp
+++ b/Source/Yardhill/Job.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 yardhill contributors
 // SPDX-License-Identifier: Apache-2.0
 
-// yardhill job: calls instances on the platform, either for a single job of one of a load_profile's
-// kinds or to generate the load of a whole load_profile.
+// yardhill job: calls instances on the platform, either for a single job of one of a load profile's
+// kinds or to generate the load of a whole load profile.
 
 #include <cstdio>
 #include <fstream>
