--- a/Source/UnitTests/Scheduling/TakeoverTest.cpp
+++ b/Source/UnitTests/Scheduling/TakeoverTest.cpp
@@ -65,7 +65,7 @@
 
 // An owner that was isolated with its zone gave up an unheard worker at the end of the earlier
 // owner's leases and started that worker's tasks again, while its own successor had heard the
-// worker.
+// worker (explorer, seed 450787).
 BOOST_FIXTURE_TEST_CASE(after_the_earlier_leases_tasks_start_only_with_a_fresh_renewal, taken_over)
 {
   answer_hold("w1", {});
@@ -190,7 +190,8 @@
 }
 
 // An owner that was isolated with its zone gave up a run on a silent worker and started the task
-// again, while its successor had heard that worker and acknowledged the run's end.
+// again, while its successor had heard that worker and acknowledged the run's end
+// (explorer, seed 266).
 BOOST_FIXTURE_TEST_CASE(a_task_given_up_unheard_starts_again_only_with_a_fresh_renewal,
                         scheduler_harness)
 {
@@ -206,7 +207,7 @@
 
 // A new owner whose feed of worker entries lagged behind received the entry of a worker's earlier
 // incarnation after it had asked the present one. It assumed that the present one was gone and
-// started its tasks elsewhere.
+// started its tasks elsewhere (explorer, seed 1736).
 BOOST_FIXTURE_TEST_CASE(the_entry_of_an_earlier_incarnation_does_not_end_a_later_one,
                         takeover_harness)
 {
